--- a/src/main/kotlin/org/honeyjunction/app/JobSubmission.kt
+++ b/src/main/kotlin/org/honeyjunction/app/JobSubmission.kt
@@ -86,7 +86,7 @@
     /** Whether the job can ever run on the cluster and under the rules; rules that were not read yet may forbid it. */
     private fun validate(spec: JobSpec): Feasibility {
         val rules = node.rules ?: return node.settings.cluster.checkFeasibility(spec)
-        val feasibility = rules.book.judge(spec)
+        val feasibility = rules.book.checkFeasibility(spec)
         val neverRead = !rules.known && rules.current.version == 0L
         return if (feasibility == Feasibility.Feasible && neverRead) Feasibility.Unknown else feasibility
     }
--- a/src/main/kotlin/org/honeyjunction/app/RulesCommand.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RulesCommand.kt
@@ -53,7 +53,7 @@
         ) settings: Path?,
     ): Int =
         reporting {
-            val known: Analysis.Known? = settings?.let { s -> Files.json(s, "") { LocalSettings(it, null, 1).known() } }
+            val known: Analysis.Inventory? = settings?.let { s -> Files.json(s, "") { LocalSettings(it, null, 1).known() } }
             val topologyName = topology?.toString() ?: "topology"
             val checked = document(file, topology).check(0, known, file.toString(), topologyName, alone = topology == null)
             (checked.errors + checked.warnings).forEach(System.err::println)
--- a/src/main/kotlin/org/honeyjunction/app/local/LocalSettings.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/LocalSettings.kt
@@ -97,13 +97,13 @@
 
     /** What the analysis of rules wants to know of the cluster. */
     fun known() =
-        Analysis.Known(
+        Analysis.Inventory(
             params.list("teams").mapTo(HashSet()) { it.text("name") },
             zones.toSet(),
             types.flatMap { t ->
                 t.zones.flatMap { z ->
                     listOf(false, true).map { spot ->
-                        Analysis.KnownMachine(t.name, zones[z], spot, t.size.cpus, t.size.gpus, t.size.memoryGb)
+                        Analysis.MachineKind(t.name, zones[z], spot, t.size.cpus, t.size.gpus, t.size.memoryGb)
                     }
                 }
             },
--- a/src/main/kotlin/org/honeyjunction/app/nomad/NomadRegistry.kt
+++ b/src/main/kotlin/org/honeyjunction/app/nomad/NomadRegistry.kt
@@ -230,7 +230,7 @@
         for (g in job.groups.filter { it.count > 0 }) {
             val spec = g.spec.copy(tasks = g.count)
             val book = RuleBook(cluster, RuleSet(operators.version, operators.rules + g.rules, operators.topology))
-            when (val verdict = book.judge(spec)) {
+            when (val verdict = book.checkFeasibility(spec)) {
                 is Feasibility.Infeasible -> return Outcome.Refused(400, listOf("group \"${g.name}\": ${verdict.reason} (PROTOCOL, 422)"))
                 Feasibility.Unknown -> return Outcome.Later("the machine types are not known yet")
                 Feasibility.Feasible -> Unit
--- a/src/main/kotlin/org/honeyjunction/core/capacity/Bin.kt
+++ b/src/main/kotlin/org/honeyjunction/core/capacity/Bin.kt
@@ -19,7 +19,7 @@
     var free: Resources,
     val empty: Boolean,
     leaving: List<UpcomingCapacity> = emptyList(),
-    private var scene: RuleTable.Scene = RuleTable.Scene.NOWHERE,
+    private var scene: RuleTable.MachineContext = RuleTable.MachineContext.EMPTY,
     /** It does not report: work that can wait counts on its recovery, production does not. */
     private val unresponsive: Boolean = false,
 ) {
@@ -31,12 +31,12 @@
     /** Whether a task like [row] may be started here, beside the tasks that are. */
     fun permits(row: TaskRow, rules: ScaleOutPolicy?): Boolean =
         !(unresponsive && row.priority == Priority.PRODUCTION) &&
-            (rules == null || row.shape < 0 || rules.table.barred(row.shape, scene, row.mates) == null)
+            (rules == null || row.shape < 0 || rules.table.firstViolation(row.shape, scene, row.mates) == null)
 
     /** Takes capacity for a task like [row], [fromS] seconds from now. */
     fun take(row: TaskRow, runS: Double?, fromS: Double = 0.0) {
         take(row.need, runS, fromS)
-        scene = scene.with(row.shape)
+        scene = scene.plusTasks(row.shape)
     }
 
     /** Takes [need], [fromS] seconds from now, for a task that runs for [runS] seconds and then frees it; null: without end. */
--- a/src/main/kotlin/org/honeyjunction/core/capacity/CapacityPlan.kt
+++ b/src/main/kotlin/org/honeyjunction/core/capacity/CapacityPlan.kt
@@ -10,7 +10,7 @@
  * What placement rules mean for scaling out: nothing is rented that a mandatory rule forbids, nor more of what cannot be checked
  * before it is there. [empty] gives what rules see of a new instance.
  */
-class ScaleOutPolicy(val table: RuleTable, val empty: (Offer) -> RuleTable.Scene, val mayRent: (shape: Int, Offer) -> Boolean)
+class ScaleOutPolicy(val table: RuleTable, val empty: (Offer) -> RuleTable.MachineContext, val mayRent: (shape: Int, Offer) -> Boolean)
 
 /**
  * What to rent, and the indices of the machines to [keep]. [unmet]: samples of the tasks that get no capacity. [held]: empty
--- a/src/main/kotlin/org/honeyjunction/core/capacity/CapacityPlanner.kt
+++ b/src/main/kotlin/org/honeyjunction/core/capacity/CapacityPlanner.kt
@@ -184,7 +184,7 @@
     private fun addInstance(offer: Offer, draft: Draft): Bin {
         draft.rent.merge(offer, 1, Int::plus)
         draft.machinesByZone.merge(offer.zone, 1, Int::plus)
-        val scene = rules?.empty?.invoke(offer) ?: RuleTable.Scene.NOWHERE
+        val scene = rules?.empty?.invoke(offer) ?: RuleTable.MachineContext.EMPTY
         val bin = Bin(Bin.NOT_A_MACHINE, offer, types.getValue(offer.type).size, true, scene = scene)
         draft.bins += bin
         draft.noneFree.clear()
--- a/src/main/kotlin/org/honeyjunction/core/control/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/autoscaling/Autoscaler.kt
@@ -171,9 +171,9 @@
         )
 
     /** What placement rules see of an instance of [offer] without tasks and cached images. */
-    private fun emptyScene(offer: Offer): RuleTable.Scene {
+    private fun emptyScene(offer: Offer): RuleTable.MachineContext {
         val place = state.book.offerPlace(offer.type, offer.zone, offer.spot)
-        return RuleTable.Scene(place, IntArray(0), IntArray(0))
+        return RuleTable.MachineContext(place, IntArray(0), IntArray(0))
     }
 
     private fun scaleOutPolicy(): ScaleOutPolicy? {
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/Explainer.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/Explainer.kt
@@ -101,7 +101,7 @@
         val table = state.book.table
         val scene = state.scene(machine, setOfNotNull(machine.placements[task.id]))
         table.clausesOf[job.shape].mapTo(lines) { ruleLine(it, table.holds(it, scene, commonPlace(job, it))) }
-        table.unmet(job.shape, scene).filter { it.of != job.shape }.mapTo(lines) { ruleLine(it.clause, false) }
+        table.unmetPreferences(job.shape, scene).filter { it.shape != job.shape }.mapTo(lines) { ruleLine(it.clause, false) }
         return lines
     }
 
@@ -112,7 +112,7 @@
         val places = job.placements.map { it.machine.place }
         val most =
             places.maxBy { candidate ->
-                places.count { table.holds(clause, RuleTable.Scene(it, IntArray(0), IntArray(0)), listOf(candidate)) }
+                places.count { table.holds(clause, RuleTable.MachineContext(it, IntArray(0), IntArray(0)), listOf(candidate)) }
             }
         return listOf(most)
     }
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/PendingReasonReport.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/PendingReasonReport.kt
@@ -75,7 +75,7 @@
         return when {
             gang && fitting < job.unfinished ->
                 "of ${job.unfinished} tasks of the gang only $fitting have room at once"
-            gang && state.book.table.asksSame(job.shape) -> {
+            gang && state.book.table.hasSameClause(job.shape) -> {
                 val waitS = state.tuning.cost.patienceMs / 1000.0
                 "it may wait up to $waitS s for places that meet its preferences"
             }
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/ClusterState.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/ClusterState.kt
@@ -149,17 +149,17 @@
     }
 
     /** [machine] as the rules see it, without the placements in [leaving]. */
-    fun scene(machine: Machine, leaving: Set<Placement> = emptySet()): RuleTable.Scene =
+    fun scene(machine: Machine, leaving: Set<Placement> = emptySet()): RuleTable.MachineContext =
         if (book.empty) {
-            RuleTable.Scene.NOWHERE
+            RuleTable.MachineContext.EMPTY
         } else {
-            RuleTable.Scene(machine.place, running(machine, leaving), machine.images.keys.toIntArray())
+            RuleTable.MachineContext(machine.place, running(machine, leaving), machine.images.keys.toIntArray())
         }
 
     /** The shapes of the tasks that are or may be on [machine], without those in [leaving]. */
     fun running(machine: Machine, leaving: Set<Placement> = emptySet()): IntArray =
         if (book.empty) {
-            RuleTable.Scene.NOWHERE.running
+            RuleTable.MachineContext.EMPTY.running
         } else {
             machine.placements.values
                 .filter { it !in leaving && it.task.job.shape >= 0 }
@@ -169,11 +169,11 @@
 
     /** The places of the job's other tasks than [task]; empty unless a rule needs them. */
     fun siblingPlaces(job: Job, task: Task?): List<Int> =
-        if (!book.table.asksSame(job.shape)) emptyList() else job.placements.filter { it.task !== task }.map { it.machine.place }
+        if (!book.table.hasSameClause(job.shape)) emptyList() else job.placements.filter { it.task !== task }.map { it.machine.place }
 
     /** The mandatory rule that forbids [task] of [job] to start on [machine] at this moment; null: none. */
-    fun violatedRule(job: Job, task: Task?, machine: Machine): RuleTable.Breach? =
-        if (job.shape < 0) null else book.table.barred(job.shape, scene(machine), siblingPlaces(job, task))
+    fun violatedRule(job: Job, task: Task?, machine: Machine): RuleTable.Violation? =
+        if (job.shape < 0) null else book.table.firstViolation(job.shape, scene(machine), siblingPlaces(job, task))
 
     /** Records that [attempt] of [task] is or may be on [machine]; replaces an earlier attempt there. */
     fun place(task: Task, machine: Machine, attempt: Long, phase: Phase, now: Long): Placement {
--- a/src/main/kotlin/org/honeyjunction/core/control/preemption/PreemptionSite.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/preemption/PreemptionSite.kt
@@ -26,8 +26,8 @@
     }
 
     private fun barred(row: TaskRow, besideShapes: IntArray): Boolean {
-        val scene = RuleTable.Scene(capacity.place, besideShapes, capacity.images)
-        return rules.barred(row.shape, scene, row.mates) != null
+        val scene = RuleTable.MachineContext(capacity.place, besideShapes, capacity.images)
+        return rules.firstViolation(row.shape, scene, row.mates) != null
     }
 
     fun take(need: Resources) {
--- a/src/main/kotlin/org/honeyjunction/core/placement/CandidatePruning.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/CandidatePruning.kt
@@ -1,7 +1,7 @@
 package org.honeyjunction.core.placement
 
+import org.honeyjunction.core.rules.RuleCostCache
 import org.honeyjunction.core.rules.RuleTable
-import org.honeyjunction.core.rules.RuleView
 import kotlin.math.min
 
 /** What one assignment is solved over; [tooLarge] names the gangs (job indices) that need more columns than it may have. */
@@ -16,12 +16,12 @@
  *
  * Where all columns and twice as many rows fit the bounds, nothing is pruned and the assignment is the optimum.
  */
-class CandidatePruning(private val summary: Summary, private val settings: CostSettings, private val rules: RuleView) {
+class CandidatePruning(private val summary: Summary, private val settings: CostSettings, private val rules: RuleCostCache) {
     /** The rows of one job, which are alike, and the columns that they may use. */
     private inner class JobRows(val rows: List<TaskRow>) {
         val sample = rows.first()
         val slots = ArrayList<CandidateSlot>()
-        private val dependsOnNeighbours = rules.table.dependsOnNeighbours(sample.shape)
+        private val dependsOnNeighbours = rules.table.dependsOnOwnShape(sample.shape)
 
         /** Rows that have a column of their own, free now. */
         var claimed = 0
@@ -34,16 +34,16 @@
         /** Gangs, and jobs bound to one zone or spread over zones, need all their slots in one pass. */
         val needsSlotsAtOnce get() = isGang || sample.oneZone || sample.zoneRoom != null
 
-        fun admits(room: FreeCapacity, scene: RuleTable.Scene, sceneIndex: Int) =
-            sample.allows(room) && (sample.shape < 0 || !rules.bars(sample.shape, scene, sceneIndex, sample.mates))
+        fun admits(room: FreeCapacity, scene: RuleTable.MachineContext, sceneIndex: Int) =
+            sample.allows(room) && (sample.shape < 0 || !rules.forbids(sample.shape, scene, sceneIndex, sample.mates))
 
         /** Whether one more task fits beside those that earlier slots of the machine took, and the rules allow it. */
         fun admits(slot: CandidateSlot): Boolean {
             if (slot.place == 0) return true
             if (slot.place >= sample.need.countIn(slot.room.free)) return false
             if (!dependsOnNeighbours) return true
-            val scene = slot.room.scene.with(sample.shape, slot.place)
-            return !rules.bars(sample.shape, scene, rules.scene(scene), sample.mates)
+            val scene = slot.room.scene.plusTasks(sample.shape, slot.place)
+            return !rules.forbids(sample.shape, scene, rules.contextIndex(scene), sample.mates)
         }
     }
 
@@ -118,8 +118,8 @@
         val images = jobs.mapTo(HashSet()) { it.sample.image }
         val found = ArrayList<Pair<CandidateSlot, List<JobRows>>>()
         for (room in summary.rooms) {
-            val scene = if (rules.empty) RuleTable.Scene.NOWHERE else room.scene
-            val sceneIndex = if (rules.empty) 0 else rules.scene(scene)
+            val scene = if (rules.empty) RuleTable.MachineContext.EMPTY else room.scene
+            val sceneIndex = if (rules.empty) 0 else rules.contextIndex(scene)
             val allowed = jobs.filter { it.admits(room, scene, sceneIndex) }
             val near = room.images.any { it in images }
             repeat(min(slotsInOnePass(allowed, room), rows)) { found += CandidateSlot(room, it, near = near) to allowed }
--- a/src/main/kotlin/org/honeyjunction/core/placement/ColocationPlanner.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/ColocationPlanner.kt
@@ -1,24 +1,24 @@
 package org.honeyjunction.core.placement
 
+import org.honeyjunction.core.rules.RuleCostCache
 import org.honeyjunction.core.rules.RuleTable
-import org.honeyjunction.core.rules.RuleView
 import java.util.PriorityQueue
 
 /**
  * Chooses where the tasks of a job gather whose rules ask for the same rack, zone or type. The cost of a cell then depends on where
  * the job's other tasks go, which an assignment can't express; so a place is chosen first, and the assignment counts from it.
  */
-class ColocationPlanner(private val summary: Summary, private val settings: CostSettings, private val rules: RuleView) {
+class ColocationPlanner(private val summary: Summary, private val settings: CostSettings, private val rules: RuleCostCache) {
     private val table = rules.table
 
     /** A machine's free capacity with its scene for the rules, computed once for all places that are compared. */
-    private class Site(val room: FreeCapacity, val scene: RuleTable.Scene, val sceneIndex: Int)
+    private class Site(val room: FreeCapacity, val scene: RuleTable.MachineContext, val sceneIndex: Int)
 
     /** A machine with the number of the job's tasks that fit on it. */
     private class FittingSite(val site: Site, val fits: Int)
 
     private val sites by lazy(LazyThreadSafetyMode.NONE) {
-        summary.rooms.filter { it.place >= 0 }.map { room -> room.scene.let { Site(room, it, rules.scene(it)) } }
+        summary.rooms.filter { it.place >= 0 }.map { room -> room.scene.let { Site(room, it, rules.contextIndex(it)) } }
     }
 
     /** What gathering at [place] would cost the tasks together; the choice with the fewest tasks [left] out is best. */
@@ -30,7 +30,7 @@
      */
     fun choose(rows: List<TaskRow>): List<TaskRow> {
         if (rules.empty) return rows
-        val jobs = rows.filter { table.asksSame(it.shape) && it.mates.isEmpty() }.groupBy { it.job }
+        val jobs = rows.filter { table.hasSameClause(it.shape) && it.mates.isEmpty() }.groupBy { it.job }
         if (jobs.isEmpty()) return rows
         val choices = jobs.mapValues { (_, tasks) -> best(tasks.first(), tasks.size) }
         return rows.mapNotNull { row ->
@@ -67,15 +67,15 @@
 
     private fun costOfGathering(sample: TaskRow, count: Int, candidates: List<FittingSite>, place: Int): Choice {
         val mates = listOf(place)
-        val dependsOnNeighbours = table.dependsOnNeighbours(sample.shape)
+        val dependsOnNeighbours = table.dependsOnOwnShape(sample.shape)
         // The cheapest cells so far, the most expensive of them first: most machines are turned away by one comparison.
         val cells = PriorityQueue(MOST_EXPENSIVE_FIRST)
         for (candidate in candidates) {
             val site = candidate.site
             val fetchGb = if (sample.image in site.room.images) 0.0 else sample.imageGb
             for (position in 0 until candidate.fits) {
-                val scene = if (dependsOnNeighbours && position > 0) site.scene.with(sample.shape, position) else site.scene
-                val sceneIndex = if (scene === site.scene) site.sceneIndex else rules.scene(scene)
+                val scene = if (dependsOnNeighbours && position > 0) site.scene.plusTasks(sample.shape, position) else site.scene
+                val sceneIndex = if (scene === site.scene) site.sceneIndex else rules.contextIndex(scene)
                 val cell = Cell(rules.cost(sample.shape, scene, sceneIndex, mates), fetchGb)
                 val full = cells.size == count
                 if (cell.barred || full && MOST_EXPENSIVE_FIRST.compare(cells.peek(), cell) >= 0) break
@@ -101,7 +101,7 @@
             val placed = taken.groupBy({ it.job }, { places.getValue(it.machine) })
             return waiting.map { row ->
                 val mates = placed[row.job]
-                if (mates == null || !rules.asksSame(row.shape)) row else row.copy(mates = row.mates + mates)
+                if (mates == null || !rules.hasSameClause(row.shape)) row else row.copy(mates = row.mates + mates)
             }
         }
     }
--- a/src/main/kotlin/org/honeyjunction/core/placement/CostMatrix.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/CostMatrix.kt
@@ -1,7 +1,7 @@
 package org.honeyjunction.core.placement
 
 import org.honeyjunction.core.model.Priority
-import org.honeyjunction.core.rules.RuleView
+import org.honeyjunction.core.rules.RuleCostCache
 import kotlin.math.max
 import kotlin.math.min
 
@@ -19,7 +19,11 @@
     gangOf == 0 && image in slot.room.images && allows(slot.room) && waitingMs / 1000.0 * slot.room.fetchGbPerS < imageGb
 
 /** The paper's cost of a cell, fairness plus data locality (formulas 4 to 9); docs/design.md lists what is added and why. */
-class CostMatrix(private val summary: Summary, private val settings: CostSettings, private val rules: RuleView = RuleView(summary.rules)) {
+class CostMatrix(
+    private val summary: Summary,
+    private val settings: CostSettings,
+    private val rules: RuleCostCache = RuleCostCache(summary.rules),
+) {
     private val weights = weights(summary.teams)
     private val running = summary.teams.sumOf { it.running }
 
@@ -87,11 +91,11 @@
     fun ruleCosts(rows: List<TaskRow>, slots: List<CandidateSlot>): Map<Int, DoubleArray> {
         if (rules.empty) return emptyMap()
         return rows.filter { it.shape >= 0 }.distinctBy { it.job }.associate { row ->
-            val dependsOnNeighbours = rules.table.dependsOnNeighbours(row.shape)
+            val dependsOnNeighbours = rules.table.dependsOnOwnShape(row.shape)
             row.job to
                 DoubleArray(slots.size) { column ->
-                    val scene = slots[column].room.scene.with(row.shape, if (dependsOnNeighbours) slots[column].place else 0)
-                    val cost = rules.cost(row.shape, scene, rules.scene(scene), row.mates)
+                    val scene = slots[column].room.scene.plusTasks(row.shape, if (dependsOnNeighbours) slots[column].place else 0)
+                    val cost = rules.cost(row.shape, scene, rules.contextIndex(scene), row.mates)
                     if (cost == Double.POSITIVE_INFINITY) BARRED else settings.alpha * min(cost, MAX_RULES_GB)
                 }
         }
--- a/src/main/kotlin/org/honeyjunction/core/placement/FirstFitEstimate.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/FirstFitEstimate.kt
@@ -11,10 +11,17 @@
  * task that would fetch after that, since the round lets such a task wait.
  */
 class FirstFitEstimate(rooms: List<FreeCapacity>, private val rules: RuleTable, private val skipFetching: Boolean = false) {
-    private class Site(val room: FreeCapacity, var free: Resources, var scene: RuleTable.Scene)
+    private class Site(val room: FreeCapacity, var free: Resources, var scene: RuleTable.MachineContext)
 
     /** Fuller machines first, which leaves whole ones to gangs. */
-    private val sites = rooms.sortedBy { it.free.gpus }.map { Site(it, it.free, if (rules.empty) RuleTable.Scene.NOWHERE else it.scene) }
+    private val sites =
+        rooms.sortedBy { it.free.gpus }.map {
+            Site(
+                it,
+                it.free,
+                if (rules.empty) RuleTable.MachineContext.EMPTY else it.scene,
+            )
+        }
     private val jobsWithReservation = rooms.mapNotNullTo(HashSet()) { room -> room.heldFor.takeIf { it >= 0 } }
 
     /** Rows that did not fit beside those before: what asks for the same or more does not fit either. */
@@ -76,13 +83,17 @@
     private fun occupy(site: Site, sample: TaskRow, tasks: Int) {
         site.free -= sample.need * tasks
         used += site.room.machine
-        if (!rules.empty) site.scene = site.scene.with(sample.shape, tasks)
+        if (!rules.empty) site.scene = site.scene.plusTasks(sample.shape, tasks)
     }
 
     /** How many of [most] tasks the rules allow beside one another. */
     private fun permittedByRules(sample: TaskRow, site: Site, most: Int): Int {
         var permitted = 0
-        while (permitted < most && rules.barred(sample.shape, site.scene.with(sample.shape, permitted), sample.mates) == null) permitted++
+        while (permitted < most &&
+            rules.firstViolation(sample.shape, site.scene.plusTasks(sample.shape, permitted), sample.mates) == null
+        ) {
+            permitted++
+        }
         return permitted
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/placement/PlacementRound.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/PlacementRound.kt
@@ -1,8 +1,8 @@
 package org.honeyjunction.core.placement
 
 import org.honeyjunction.core.model.Resources
+import org.honeyjunction.core.rules.RuleCostCache
 import org.honeyjunction.core.rules.RuleTable
-import org.honeyjunction.core.rules.RuleView
 
 /**
  * One round of the paper's fair scheduler (lsap-fair-sched): a pure function from a summary to proposed starts.
@@ -48,7 +48,7 @@
     }
 
     /** A gang's rows are alike, so the cheapest columns are the optimal assignment. */
-    private fun assignGang(summary: Summary, rules: RuleView): List<Proposal> {
+    private fun assignGang(summary: Summary, rules: RuleCostCache): List<Proposal> {
         val rows = summary.rows
         val unbounded = settings.copy(maxColumns = Int.MAX_VALUE)
         val pruned = CandidatePruning(summary, unbounded, rules).prune(rows)
@@ -63,7 +63,7 @@
         return admit(rows.zip(cheapest) { row, (slot, _) -> row to pruned.slots[slot].room }, summary.rules)
     }
 
-    private fun solve(summary: Summary, rules: RuleView): Pass {
+    private fun solve(summary: Summary, rules: RuleCostCache): Pass {
         val matrix = CostMatrix(summary, settings, rules)
         val ordered = chooseZones(matrix.order(summary.rows), summary.rooms)
         val pruned = CandidatePruning(summary, settings, rules).prune(ColocationPlanner(summary, settings, rules).choose(ordered))
@@ -137,7 +137,7 @@
 
     /** What the pairs admitted so far leave of machines and of zones' parts. */
     private class Admission(private val rules: RuleTable) {
-        private val sceneOf = HashMap<Int, RuleTable.Scene>()
+        private val sceneOf = HashMap<Int, RuleTable.MachineContext>()
         private val freeOn = HashMap<Int, Resources>()
         private val usedInZone = HashMap<Pair<Int, Int>, Int>()
 
@@ -147,10 +147,10 @@
             val inZone = usedInZone.getOrDefault(row.job to room.zone, 0)
             val zoneRoom = row.zoneRoom
             // Tasks that were assigned slots of one machine at the same time may be kept apart by a rule.
-            val scene = if (rules.empty) RuleTable.Scene.NOWHERE else sceneOf[room.machine] ?: room.scene
+            val scene = if (rules.empty) RuleTable.MachineContext.EMPTY else sceneOf[room.machine] ?: room.scene
             val fits = row.need.fitsIn(free) && (zoneRoom == null || inZone < zoneRoom[room.zone])
-            if (!fits || rules.barred(row.shape, scene, row.mates) != null) return false
-            if (!rules.empty) sceneOf[room.machine] = scene.with(row.shape)
+            if (!fits || rules.firstViolation(row.shape, scene, row.mates) != null) return false
+            if (!rules.empty) sceneOf[room.machine] = scene.plusTasks(row.shape)
             freeOn[room.machine] = free - row.need
             usedInZone[row.job to room.zone] = inZone + 1
             return true
--- a/src/main/kotlin/org/honeyjunction/core/placement/RoundProgress.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/RoundProgress.kt
@@ -1,12 +1,12 @@
 package org.honeyjunction.core.placement
 
-import org.honeyjunction.core.rules.RuleView
+import org.honeyjunction.core.rules.RuleCostCache
 
 /** What is left of a round: free capacity and waiting rows shrink as its passes take tasks. Confined to one round. */
 internal class RoundProgress(private val summary: Summary) {
     private var rooms = summary.rooms
     private var waiting = summary.rows
-    val rules = RuleView(summary.rules)
+    val rules = RuleCostCache(summary.rules)
 
     /** All proposals of the round so far, in the order in which they were taken. */
     val proposals = ArrayList<Proposal>()
--- a/src/main/kotlin/org/honeyjunction/core/placement/Summary.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/Summary.kt
@@ -24,7 +24,7 @@
     val place: Int = -1,
     val running: IntArray = NOTHING,
 ) {
-    val scene: RuleTable.Scene get() = RuleTable.Scene(place, running, images)
+    val scene: RuleTable.MachineContext get() = RuleTable.MachineContext(place, running, images)
 
     fun withFree(
         free: Resources,
--- a/src/main/kotlin/org/honeyjunction/core/rules/Analysis.kt
+++ b/src/main/kotlin/org/honeyjunction/core/rules/Analysis.kt
@@ -4,12 +4,12 @@
 import org.honeyjunction.core.model.Priority
 
 /** What can be said against rules that read well: told to the operators, and no reason to refuse them. */
-class Analysis(private val rules: List<Rule>, private val known: Known? = null) {
+class Analysis(private val rules: List<Rule>, private val known: Inventory? = null) {
     /** What the cluster has, where that is known; a name that is in none of these lists selects or matches nothing. */
-    class Known(val teams: Set<String>, val zones: Set<String>, val machines: List<KnownMachine>)
+    class Inventory(val teams: Set<String>, val zones: Set<String>, val machines: List<MachineKind>)
 
     /** One kind of machine that the cloud rents. */
-    class KnownMachine(val type: String, val zone: String, val spot: Boolean, val cpus: Double, val gpus: Double, val memoryGb: Double)
+    class MachineKind(val type: String, val zone: String, val spot: Boolean, val cpus: Double, val gpus: Double, val memoryGb: Double)
 
     /** [rule] is the position of the rule, [clause] that of the clause within it; below 0 it is about the rule as a whole. */
     class Warning(val rule: Int, val clause: Int, val message: String)
@@ -26,9 +26,9 @@
     private fun selectors(): List<Warning> =
         rules.mapIndexedNotNull { i, r ->
             val unknown = ArrayList<String>()
-            r.who.each { w ->
-                if (w is Who.Named &&
-                    w.field == Who.Field.TEAM &&
+            r.selector.each { w ->
+                if (w is TaskSelector.Named &&
+                    w.field == TaskSelector.Field.TEAM &&
                     known != null &&
                     w.name !in known.teams
                 ) {
@@ -36,7 +36,7 @@
                 }
             }
             when {
-                !canSelect(listOf(r.who)) -> Warning(i, -1, "rule \"${r.name}\" selects nothing")
+                !canSelect(listOf(r.selector)) -> Warning(i, -1, "rule \"${r.name}\" selects nothing")
                 unknown.isNotEmpty() -> Warning(i, -1, "there is no team \"${unknown.first()}\"")
                 r.clauses.isEmpty() -> Warning(i, -1, "rule \"${r.name}\" asks for nothing")
                 else -> null
@@ -86,28 +86,28 @@
 
     private fun contradicts(preferring: Rule, prefer: Clause, rule: Rule, must: Clause): Boolean =
         must.weight == null &&
-            canSelect(listOf(preferring.who, rule.who)) &&
+            canSelect(listOf(preferring.selector, rule.selector)) &&
             !satisfiable(listOf(prefer.test, must.test)) &&
             satisfiable(listOf(prefer.test)) &&
             satisfiable(listOf(must.test))
 
     /** Whether some task is selected by [all] at once; each name takes the values that the selectors tell apart, and one other. */
-    private fun canSelect(all: List<Who>): Boolean {
-        val names = Who.Field.entries.associateWith { field -> mentionedNames(all, field) + OTHER }
-        return names.getValue(Who.Field.CLASS).any { jobClass ->
-            names.getValue(Who.Field.TEAM).any { team ->
-                names.getValue(Who.Field.IMAGE).any { image -> canSelect(all, jobClass, team, image) }
+    private fun canSelect(all: List<TaskSelector>): Boolean {
+        val names = TaskSelector.Field.entries.associateWith { field -> mentionedNames(all, field) + OTHER }
+        return names.getValue(TaskSelector.Field.CLASS).any { jobClass ->
+            names.getValue(TaskSelector.Field.TEAM).any { team ->
+                names.getValue(TaskSelector.Field.IMAGE).any { image -> canSelect(all, jobClass, team, image) }
             }
         }
     }
 
-    private fun mentionedNames(all: List<Who>, field: Who.Field): Set<String> {
+    private fun mentionedNames(all: List<TaskSelector>, field: TaskSelector.Field): Set<String> {
         val mentioned = LinkedHashSet<String>()
-        all.forEach { who -> who.each { if (it is Who.Named && it.field == field) mentioned += it.name } }
+        all.forEach { who -> who.each { if (it is TaskSelector.Named && it.field == field) mentioned += it.name } }
         return mentioned
     }
 
-    private fun canSelect(all: List<Who>, jobClass: String, team: String, image: String): Boolean =
+    private fun canSelect(all: List<TaskSelector>, jobClass: String, team: String, image: String): Boolean =
         JobKind.entries.any { kind ->
             Priority.entries.any { priority ->
                 val shape = Shape(jobClass, team, kind, priority, image)
@@ -119,7 +119,7 @@
      * Whether some machine (of the kind of [of], if given) meets all of [tests]. Each attribute takes the values that the
      * tests tell apart; what runs and is cached is free. True also where there are too many cases to go through.
      */
-    private fun satisfiable(tests: List<Test>, of: KnownMachine? = null): Boolean {
+    private fun satisfiable(tests: List<Test>, of: MachineKind? = null): Boolean {
         val constants = LinkedHashMap<Attribute, LinkedHashSet<Value>>()
         val free = LinkedHashSet<Test>()
         tests.forEach { root ->
@@ -149,7 +149,7 @@
         return false
     }
 
-    private fun fixed(a: Attribute, m: KnownMachine?): Value? =
+    private fun fixed(a: Attribute, m: MachineKind?): Value? =
         when (a) {
             Attribute.Type -> m?.let { Value.Text(it.type) }
             Attribute.Zone -> m?.let { Value.Text(it.zone) }
@@ -185,15 +185,15 @@
             is Test.Or -> holds(t.left, values, atom) || holds(t.right, values, atom)
         }
 
-    private fun compare(have: Value, op: Op, want: Value): Boolean {
+    private fun compare(have: Value, op: ComparisonOperator, want: Value): Boolean {
         val order = if (have is Value.Number && want is Value.Number) have.number.compareTo(want.number) else null
         return when (op) {
-            Op.EQ -> have == want
-            Op.NE -> have != want
-            Op.LT -> order != null && order < 0
-            Op.LE -> order != null && order <= 0
-            Op.GT -> order != null && order > 0
-            Op.GE -> order != null && order >= 0
+            ComparisonOperator.EQ -> have == want
+            ComparisonOperator.NE -> have != want
+            ComparisonOperator.LT -> order != null && order < 0
+            ComparisonOperator.LE -> order != null && order <= 0
+            ComparisonOperator.GT -> order != null && order > 0
+            ComparisonOperator.GE -> order != null && order >= 0
         }
     }
 
--- a/src/main/kotlin/org/honeyjunction/core/rules/Language.kt
+++ b/src/main/kotlin/org/honeyjunction/core/rules/Language.kt
@@ -4,20 +4,20 @@
 import org.honeyjunction.core.model.Priority
 
 /** Which tasks: the selector of a rule, and of what "runs" looks for. docs/rules.md has the language. */
-sealed interface Who {
-    data object All : Who
+sealed interface TaskSelector {
+    data object All : TaskSelector
 
-    data class Named(val field: Field, val name: String) : Who
+    data class Named(val field: Field, val name: String) : TaskSelector
 
-    data class OfKind(val kind: JobKind) : Who
+    data class OfKind(val kind: JobKind) : TaskSelector
 
-    data class OfPriority(val priority: Priority) : Who
+    data class OfPriority(val priority: Priority) : TaskSelector
 
-    data class Not(val of: Who) : Who
+    data class Not(val of: TaskSelector) : TaskSelector
 
-    data class And(val left: Who, val right: Who) : Who
+    data class And(val left: TaskSelector, val right: TaskSelector) : TaskSelector
 
-    data class Or(val left: Who, val right: Who) : Who
+    data class Or(val left: TaskSelector, val right: TaskSelector) : TaskSelector
 
     enum class Field { CLASS, TEAM, IMAGE }
 }
@@ -54,18 +54,18 @@
 }
 
 /** A comparison; [sign] is how it is written in a rule. */
-enum class Op(val sign: String) { EQ("="), NE("!="), LT("<"), LE("<="), GT(">"), GE(">=") }
+enum class ComparisonOperator(val sign: String) { EQ("="), NE("!="), LT("<"), LE("<="), GT(">"), GE(">=") }
 
 /** A condition on a machine, given the task that is to start there. */
 sealed interface Test {
     /** Decided by the machine's kind alone. */
     sealed interface Static : Test
 
-    data class Compare(val attribute: Attribute, val op: Op, val value: Value) : Static
+    data class Compare(val attribute: Attribute, val op: ComparisonOperator, val value: Value) : Static
 
     data class OneOf(val attribute: Attribute, val values: List<Value>) : Static
 
-    data class Runs(val who: Who) : Test
+    data class Runs(val selector: TaskSelector) : Test
 
     data class Caches(val image: String) : Test
 
@@ -86,7 +86,7 @@
 data class Clause(val test: Test, val weight: Double?, val oneWay: Boolean = false)
 
 /** A named rule: the [clauses] bind the tasks that [who] selects. */
-data class Rule(val name: String, val who: Who, val clauses: List<Clause>)
+data class Rule(val name: String, val selector: TaskSelector, val clauses: List<Clause>)
 
 /** All rules that are in force together. Version 0 stands for none having ever been applied. */
 class RuleSet(val version: Long, val rules: List<Rule>, val topology: Topology) {
@@ -109,16 +109,16 @@
     }
 }
 
-inline fun Who.each(visit: (Who) -> Unit) {
+inline fun TaskSelector.each(visit: (TaskSelector) -> Unit) {
     val open = ArrayDeque(listOf(this))
     while (open.isNotEmpty()) {
         val who = open.removeLast()
         visit(who)
         when (who) {
-            is Who.Not -> open += who.of
-            is Who.And -> open += listOf(who.left, who.right)
-            is Who.Or -> open += listOf(who.left, who.right)
-            is Who.All, is Who.Named, is Who.OfKind, is Who.OfPriority -> Unit
+            is TaskSelector.Not -> open += who.of
+            is TaskSelector.And -> open += listOf(who.left, who.right)
+            is TaskSelector.Or -> open += listOf(who.left, who.right)
+            is TaskSelector.All, is TaskSelector.Named, is TaskSelector.OfKind, is TaskSelector.OfPriority -> Unit
         }
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/rules/Printer.kt
+++ b/src/main/kotlin/org/honeyjunction/core/rules/Printer.kt
@@ -6,7 +6,7 @@
 
     fun text(rule: Rule): String =
         buildString {
-            append("rule ").append(quote(rule.name)).append(" for ").append(text(rule.who)).append(" {\n")
+            append("rule ").append(quote(rule.name)).append(" for ").append(text(rule.selector)).append(" {\n")
             rule.clauses.forEach { append("  ").append(text(it)).append('\n') }
             append("}\n")
         }
@@ -17,24 +17,24 @@
         return "$verb ${text(clause.test)}$way" + clause.weight?.let { " weight ${number(it)}" }.orEmpty()
     }
 
-    fun text(who: Who): String =
+    fun text(who: TaskSelector): String =
         when (who) {
-            Who.All -> "all"
-            is Who.Named -> "${who.field.name.lowercase()} ${quote(who.name)}"
-            is Who.OfKind -> "kind ${who.kind.name.lowercase()}"
-            is Who.OfPriority -> "priority ${who.priority.name.lowercase()}"
-            is Who.Not -> "not ${nested(who.of)}"
-            is Who.And -> "${nested(who.left)} and ${nested(who.right)}"
-            is Who.Or -> "${nested(who.left)} or ${nested(who.right)}"
+            TaskSelector.All -> "all"
+            is TaskSelector.Named -> "${who.field.name.lowercase()} ${quote(who.name)}"
+            is TaskSelector.OfKind -> "kind ${who.kind.name.lowercase()}"
+            is TaskSelector.OfPriority -> "priority ${who.priority.name.lowercase()}"
+            is TaskSelector.Not -> "not ${nested(who.of)}"
+            is TaskSelector.And -> "${nested(who.left)} and ${nested(who.right)}"
+            is TaskSelector.Or -> "${nested(who.left)} or ${nested(who.right)}"
         }
 
-    private fun nested(who: Who) = if (who is Who.And || who is Who.Or) "(${text(who)})" else text(who)
+    private fun nested(who: TaskSelector) = if (who is TaskSelector.And || who is TaskSelector.Or) "(${text(who)})" else text(who)
 
     fun text(test: Test): String =
         when (test) {
             is Test.Compare -> {
                 if (test.value is Value.Flag &&
-                    test.op == Op.EQ
+                    test.op == ComparisonOperator.EQ
                 ) {
                     "machine.${test.attribute.word}".let { if (test.value.on) it else "$it = false" }
                 } else {
@@ -42,7 +42,7 @@
                 }
             }
             is Test.OneOf -> "machine.${test.attribute.word} in [${test.values.joinToString(transform = ::text)}]"
-            is Test.Runs -> "machine runs ${nested(test.who)}"
+            is Test.Runs -> "machine runs ${nested(test.selector)}"
             is Test.Caches -> "machine caches image ${quote(test.image)}"
             is Test.Same -> "same ${test.attribute.word}"
             is Test.Not -> "not ${nested(test.of)}"
--- a/src/main/kotlin/org/honeyjunction/core/rules/RuleBook.kt
+++ b/src/main/kotlin/org/honeyjunction/core/rules/RuleBook.kt
@@ -23,7 +23,7 @@
 
     private class StaticLeaf(val test: Test.Static, val yes: BitSet)
 
-    private class RunsLeaf(val who: Who, val yes: BitSet)
+    private class RunsLeaf(val selector: TaskSelector, val yes: BitSet)
 
     private val statics = ArrayList<StaticLeaf>()
     private val runs = ArrayList<RunsLeaf>()
@@ -40,11 +40,11 @@
 
     init {
         set.topology.labels.forEach(labelNames::index)
-        val compiled = ArrayList<RuleTable.Compiled>()
+        val compiled = ArrayList<RuleTable.CompiledClause>()
         set.rules.forEachIndexed { r, rule ->
             for (clause in rule.clauses) {
                 owners += rule to clause
-                compiled += RuleTable.Compiled(r, clause.weight ?: Double.POSITIVE_INFINITY, clause.oneWay, compile(clause.test))
+                compiled += RuleTable.CompiledClause(r, clause.weight ?: Double.POSITIVE_INFINITY, clause.oneWay, compile(clause.test))
             }
         }
         table = RuleTable(set.version, compiled, clausesOf, placeLabels)
@@ -57,7 +57,7 @@
     private fun compile(test: Test): RuleTable.Expr =
         when (test) {
             is Test.Static -> StaticLeaf(test, BitSet()).also(statics::add).let { RuleTable.Expr.InPlaces(it.yes) }
-            is Test.Runs -> RunsLeaf(test.who, BitSet()).also(runs::add).let { RuleTable.Expr.Runs(it.yes) }
+            is Test.Runs -> RunsLeaf(test.selector, BitSet()).also(runs::add).let { RuleTable.Expr.Runs(it.yes) }
             is Test.Caches -> RuleTable.Expr.Caches(cluster.images.index(test.image))
             is Test.Same -> RuleTable.Expr.Same(labelIndex(test.attribute))
             is Test.Not -> RuleTable.Expr.Not(compile(test.of))
@@ -80,8 +80,8 @@
         val index =
             shapes.getOrPut(shape) {
                 val index = clausesOf.size
-                clausesOf += owners.indices.filter { matches(owners[it].first.who, shape) }.toIntArray()
-                runs.forEach { if (matches(it.who, shape)) it.yes.set(index) }
+                clausesOf += owners.indices.filter { matches(owners[it].first.selector, shape) }.toIntArray()
+                runs.forEach { if (matches(it.selector, shape)) it.yes.set(index) }
                 index
             }
         return if (clausesOf[index].isEmpty() && runs.none { it.yes[index] }) NO_SHAPE else index
@@ -130,10 +130,10 @@
      * The rules that keep [spec] from every machine that there could ever be: one that does so alone, or all that do it
      * together. Empty where some machine may do.
      */
-    fun forbidding(spec: JobSpec): List<Rule> {
+    fun rulesForbidding(spec: JobSpec): List<Rule> {
         if (empty) return emptyList()
         val shape = Shape(spec)
-        val musts = owners.filter { (rule, clause) -> clause.weight == null && matches(rule.who, shape) }
+        val musts = owners.filter { (rule, clause) -> clause.weight == null && matches(rule.selector, shape) }
         val against =
             offersFor(spec).map { place ->
                 musts.filter { (_, clause) -> foresee(clause.test, place, fresh = false) == false }.map { it.first }.toSet()
@@ -145,9 +145,9 @@
     }
 
     /** Whether the cluster could ever run [spec] by these rules. */
-    fun judge(spec: JobSpec): Feasibility {
+    fun checkFeasibility(spec: JobSpec): Feasibility {
         val verdict = cluster.checkFeasibility(spec)
-        val forbidding = if (verdict == Feasibility.Feasible) forbidding(spec) else emptyList()
+        val forbidding = if (verdict == Feasibility.Feasible) rulesForbidding(spec) else emptyList()
         if (forbidding.isEmpty()) return verdict
         return Feasibility.Infeasible(
             "every machine that there could be for it is forbidden by ${forbidding.joinToString(" and ") { "rule \"${it.name}\"" }}",
@@ -191,7 +191,7 @@
             is Test.Compare -> compare(value(test.attribute, place), test.op, test.value, place, test.attribute)
             is Test.OneOf ->
                 test.values
-                    .map { compare(value(test.attribute, place), Op.EQ, it, place, test.attribute) }
+                    .map { compare(value(test.attribute, place), ComparisonOperator.EQ, it, place, test.attribute) }
                     .reduce { a, b -> both(a, b, decisive = true) }
         }
 
@@ -207,24 +207,24 @@
         }
 
     /** A label that a machine does not have equals nothing. */
-    private fun compare(have: Value?, op: Op, want: Value, place: Place, a: Attribute): Boolean? {
+    private fun compare(have: Value?, op: ComparisonOperator, want: Value, place: Place, a: Attribute): Boolean? {
         if (a is Attribute.Label && place.labels[a.word] == Topology.UNKNOWN) return null
         if (have is Value.Number && want is Value.Number) return compared(have.number.compareTo(want.number), op)
         return when (op) {
-            Op.EQ -> have == want
-            Op.NE -> have != want
-            Op.LT, Op.LE, Op.GT, Op.GE -> false
+            ComparisonOperator.EQ -> have == want
+            ComparisonOperator.NE -> have != want
+            ComparisonOperator.LT, ComparisonOperator.LE, ComparisonOperator.GT, ComparisonOperator.GE -> false
         }
     }
 
-    private fun compared(order: Int, op: Op) =
+    private fun compared(order: Int, op: ComparisonOperator) =
         when (op) {
-            Op.EQ -> order == 0
-            Op.NE -> order != 0
-            Op.LT -> order < 0
-            Op.LE -> order <= 0
-            Op.GT -> order > 0
-            Op.GE -> order >= 0
+            ComparisonOperator.EQ -> order == 0
+            ComparisonOperator.NE -> order != 0
+            ComparisonOperator.LT -> order < 0
+            ComparisonOperator.LE -> order <= 0
+            ComparisonOperator.GT -> order > 0
+            ComparisonOperator.GE -> order >= 0
         }
 
     companion object {
@@ -234,20 +234,20 @@
         private const val TYPE = 1
         private const val LABELS = 2
 
-        fun matches(who: Who, shape: Shape): Boolean =
+        fun matches(who: TaskSelector, shape: Shape): Boolean =
             when (who) {
-                Who.All -> true
-                is Who.Named ->
+                TaskSelector.All -> true
+                is TaskSelector.Named ->
                     when (who.field) {
-                        Who.Field.CLASS -> shape.jobClass
-                        Who.Field.TEAM -> shape.team
-                        Who.Field.IMAGE -> shape.image
+                        TaskSelector.Field.CLASS -> shape.jobClass
+                        TaskSelector.Field.TEAM -> shape.team
+                        TaskSelector.Field.IMAGE -> shape.image
                     } == who.name
-                is Who.OfKind -> shape.kind == who.kind
-                is Who.OfPriority -> shape.priority == who.priority
-                is Who.Not -> !matches(who.of, shape)
-                is Who.And -> matches(who.left, shape) && matches(who.right, shape)
-                is Who.Or -> matches(who.left, shape) || matches(who.right, shape)
+                is TaskSelector.OfKind -> shape.kind == who.kind
+                is TaskSelector.OfPriority -> shape.priority == who.priority
+                is TaskSelector.Not -> !matches(who.of, shape)
+                is TaskSelector.And -> matches(who.left, shape) && matches(who.right, shape)
+                is TaskSelector.Or -> matches(who.left, shape) || matches(who.right, shape)
             }
     }
 }
--- a/src/main/kotlin/org/honeyjunction/fake/ReferenceModel.kt
+++ b/src/main/kotlin/org/honeyjunction/fake/ReferenceModel.kt
@@ -2,7 +2,7 @@
 
 import org.honeyjunction.core.model.JobSpec
 import org.honeyjunction.core.rules.Attribute
-import org.honeyjunction.core.rules.Op
+import org.honeyjunction.core.rules.ComparisonOperator
 import org.honeyjunction.core.rules.RuleBook
 import org.honeyjunction.core.rules.RuleSet
 import org.honeyjunction.core.rules.Shape
@@ -16,7 +16,7 @@
     class Verdict(val rule: String, val test: Test, val must: Boolean, val met: Boolean, val sure: Boolean)
 
     fun judge(spec: JobSpec, box: MachineSpec, beside: List<JobSpec>, jobsBoxes: List<MachineSpec>): List<Verdict> =
-        set.rules.filter { RuleBook.matches(it.who, Shape(spec)) }.flatMap { rule ->
+        set.rules.filter { RuleBook.matches(it.selector, Shape(spec)) }.flatMap { rule ->
             rule.clauses.map { c ->
                 Verdict(rule.name, c.test, c.weight == null, holds(c.test, box, beside, jobsBoxes), sure(c.test, jobsBoxes))
             }
@@ -37,7 +37,7 @@
         when (test) {
             is Test.Compare -> compare(value(test.attribute, box), test.op, test.value)
             is Test.OneOf -> value(test.attribute, box) in test.values
-            is Test.Runs -> beside.any { RuleBook.matches(test.who, Shape(it)) }
+            is Test.Runs -> beside.any { RuleBook.matches(test.selector, Shape(it)) }
             is Test.Caches -> false
             is Test.Same -> {
                 // In the place where most of the job's tasks are.
@@ -69,16 +69,16 @@
                     ?.let { Value.Text(it) }
         }
 
-    private fun compare(have: Value?, op: Op, want: Value): Boolean {
-        if (op == Op.EQ) return have == want
-        if (op == Op.NE) return have != want
+    private fun compare(have: Value?, op: ComparisonOperator, want: Value): Boolean {
+        if (op == ComparisonOperator.EQ) return have == want
+        if (op == ComparisonOperator.NE) return have != want
         val a = (have as? Value.Number)?.number ?: return false
         val b = (want as? Value.Number)?.number ?: return false
-        return if (op == Op.LT) {
+        return if (op == ComparisonOperator.LT) {
             a < b
-        } else if (op == Op.LE) {
+        } else if (op == ComparisonOperator.LE) {
             a <= b
-        } else if (op == Op.GT) {
+        } else if (op == ComparisonOperator.GT) {
             a > b
         } else {
             a >= b
--- a/src/main/kotlin/org/honeyjunction/nomad/Constraints.kt
+++ b/src/main/kotlin/org/honeyjunction/nomad/Constraints.kt
@@ -5,10 +5,10 @@
 import com.google.re2j.PatternSyntaxException
 import org.honeyjunction.core.rules.Attribute
 import org.honeyjunction.core.rules.Clause
-import org.honeyjunction.core.rules.Op
+import org.honeyjunction.core.rules.ComparisonOperator
+import org.honeyjunction.core.rules.TaskSelector
 import org.honeyjunction.core.rules.Test
 import org.honeyjunction.core.rules.Value
-import org.honeyjunction.core.rules.Who
 
 /**
  * Constraints and affinities as clauses of rules. Operators that the rules do not have are worked out over the values that
@@ -37,12 +37,12 @@
         val operator = c.path("Operand").asText("").ifEmpty { "=" }
         val right = c.path("RTarget").asText("")
         val left = c.path("LTarget").asText("")
-        if (operator == "distinct_hosts") return Test.Not(Test.Runs(Who.Named(Who.Field.CLASS, jobClass)))
+        if (operator == "distinct_hosts") return Test.Not(Test.Runs(TaskSelector.Named(TaskSelector.Field.CLASS, jobClass)))
         if (operator == "distinct_property") {
             val host = left in HOSTS && (right.isEmpty() || right == "1")
             return if (host) {
                 Test.Not(
-                    Test.Runs(Who.Named(Who.Field.CLASS, jobClass)),
+                    Test.Runs(TaskSelector.Named(TaskSelector.Field.CLASS, jobClass)),
                 )
             } else {
                 refuse(path, "distinct_property of $left can't be expressed by rules: only \${node.unique.name}, once each")
@@ -51,13 +51,13 @@
         if (right.startsWith("\${")) return refuse(path, "a constraint compares with a value, not with $right")
         val attribute = attribute(left, path) ?: return null
         return when (operator) {
-            "=", "==", "is" -> compare(attribute, Op.EQ, right, path)
-            "!=", "not" -> compare(attribute, Op.NE, right, path)
+            "=", "==", "is" -> compare(attribute, ComparisonOperator.EQ, right, path)
+            "!=", "not" -> compare(attribute, ComparisonOperator.NE, right, path)
             "<", "<=", ">", ">=" ->
                 if (attribute is Attribute.Amount) {
                     compare(
                         attribute,
-                        Op.entries.first {
+                        ComparisonOperator.entries.first {
                             it.sign == operator
                         },
                         right,
@@ -117,7 +117,7 @@
             Attribute.Label(name)
         }
 
-    private fun compare(a: Attribute, op: Op, right: String, path: String): Test? {
+    private fun compare(a: Attribute, op: ComparisonOperator, right: String, path: String): Test? {
         if (a !is Attribute.Amount) return Test.Compare(a, op, Value.Text(right))
         val number =
             right.toDoubleOrNull()?.takeIf { it.isFinite() }
--- a/src/main/kotlin/org/honeyjunction/nomad/Meaning.kt
+++ b/src/main/kotlin/org/honeyjunction/nomad/Meaning.kt
@@ -11,9 +11,9 @@
 import org.honeyjunction.core.rules.Attribute
 import org.honeyjunction.core.rules.Clause
 import org.honeyjunction.core.rules.Rule
+import org.honeyjunction.core.rules.TaskSelector
 import org.honeyjunction.core.rules.Test
 import org.honeyjunction.core.rules.Value
-import org.honeyjunction.core.rules.Who
 import org.honeyjunction.wire.Json
 
 /** A file's meaning, or why it has none; [findings] are those of the reader and of the meaning, in the order of the file. */
@@ -218,7 +218,7 @@
                 emptyList()
             } else {
                 listOf(
-                    Rule(shorter("nomad $namespace/$id.$name"), Who.Named(Who.Field.CLASS, jobClass), clauses),
+                    Rule(shorter("nomad $namespace/$id.$name"), TaskSelector.Named(TaskSelector.Field.CLASS, jobClass), clauses),
                 )
             }
         return Group(name, count.toInt(), spec, rules, update, piece, definition(g, piece))
--- a/src/main/kotlin/org/honeyjunction/rules/Checker.kt
+++ b/src/main/kotlin/org/honeyjunction/rules/Checker.kt
@@ -6,18 +6,18 @@
 import org.honeyjunction.core.model.Priority
 import org.honeyjunction.core.rules.Attribute
 import org.honeyjunction.core.rules.Clause
-import org.honeyjunction.core.rules.Op
+import org.honeyjunction.core.rules.ComparisonOperator
 import org.honeyjunction.core.rules.Rule
+import org.honeyjunction.core.rules.TaskSelector
 import org.honeyjunction.core.rules.Test
 import org.honeyjunction.core.rules.Value
-import org.honeyjunction.core.rules.Who
 import org.honeyjunction.rules.grammar.RulesParser
 
-/** Turns what was parsed into the typed form; names and types that are wrong are noted in [faults], all of them. */
+/** Turns what was parsed into the typed form; names and types that are wrong are noted in [errors], all of them. */
 internal class Checker(
     private val labels: Collection<String>,
-    private val faults: MutableList<Fault>,
-    private val doubts: MutableList<Fault>? = null,
+    private val errors: MutableList<Diagnostic>,
+    private val uncertainties: MutableList<Diagnostic>? = null,
 ) {
     private val builtIn = listOf(Attribute.Type, Attribute.Zone, Attribute.Spot) + Attribute.Amount.entries
 
@@ -53,16 +53,16 @@
         return weight.coerceIn(0.0, MAX_WEIGHT.toDouble())
     }
 
-    private fun who(c: RulesParser.WhoContext): Who =
+    private fun who(c: RulesParser.WhoContext): TaskSelector =
         when (c) {
-            is RulesParser.WhoAllContext -> Who.All
+            is RulesParser.WhoAllContext -> TaskSelector.All
             is RulesParser.WhoNestedContext -> who(c.who())
-            is RulesParser.WhoNotContext -> Who.Not(who(c.who()))
-            is RulesParser.WhoAndContext -> Who.And(who(c.who(0)), who(c.who(1)))
-            is RulesParser.WhoOrContext -> Who.Or(who(c.who(0)), who(c.who(1)))
-            is RulesParser.WhoNamedContext -> Who.Named(Who.Field.valueOf(c.field.text.uppercase()), unquote(c.text))
-            is RulesParser.WhoKindContext -> Who.OfKind(word(c.text, JobKind.entries) ?: JobKind.ARRAY)
-            is RulesParser.WhoPriorityContext -> Who.OfPriority(word(c.text, Priority.entries) ?: Priority.LOW)
+            is RulesParser.WhoNotContext -> TaskSelector.Not(who(c.who()))
+            is RulesParser.WhoAndContext -> TaskSelector.And(who(c.who(0)), who(c.who(1)))
+            is RulesParser.WhoOrContext -> TaskSelector.Or(who(c.who(0)), who(c.who(1)))
+            is RulesParser.WhoNamedContext -> TaskSelector.Named(TaskSelector.Field.valueOf(c.field.text.uppercase()), unquote(c.text))
+            is RulesParser.WhoKindContext -> TaskSelector.OfKind(word(c.text, JobKind.entries) ?: JobKind.ARRAY)
+            is RulesParser.WhoPriorityContext -> TaskSelector.OfPriority(word(c.text, Priority.entries) ?: Priority.LOW)
             else -> error("who ${c.text}")
         }
 
@@ -89,16 +89,16 @@
                 ) {
                     note(c.start, "machine.${attribute.word} is not true or false: compare it with something")
                 }
-                Test.Compare(attribute ?: Attribute.Spot, Op.EQ, Value.Flag(true))
+                Test.Compare(attribute ?: Attribute.Spot, ComparisonOperator.EQ, Value.Flag(true))
             }
             is RulesParser.CompareContext -> {
                 val attribute = attribute(c.attribute())
-                val op = Op.entries.first { it.sign == c.op.text }
+                val op = ComparisonOperator.entries.first { it.sign == c.op.text }
                 val value = value(c.value(), attribute)
                 if (attribute != null &&
                     attribute !is Attribute.Amount &&
-                    op != Op.EQ &&
-                    op != Op.NE
+                    op != ComparisonOperator.EQ &&
+                    op != ComparisonOperator.NE
                 ) {
                     note(c.op, "machine.${attribute.word} can only be = or != something")
                 }
@@ -119,7 +119,8 @@
 
     private fun attribute(c: RulesParser.AttributeContext): Attribute? {
         val t = c.WORD().symbol
-        val known = builtIn.firstOrNull { it.word == t.text } ?: t.text.takeIf { it in labels || doubts != null }?.let(Attribute::Label)
+        val known =
+            builtIn.firstOrNull { it.word == t.text } ?: t.text.takeIf { it in labels || uncertainties != null }?.let(Attribute::Label)
         if (known == null ||
             known is Attribute.Label &&
             t.text !in labels
@@ -161,18 +162,21 @@
 
     /** Without a topology no label can be known: it is a doubt then. */
     private fun unknown(t: Token, message: String) {
-        if (doubts ==
+        if (uncertainties ==
             null
         ) {
             note(t, message)
         } else {
-            doubts +=
-                RulesReader.fault(t, "no topology is given, so that it is not known whether a machine has the label '${shown(t.text)}'")
+            uncertainties +=
+                RulesReader.diagnostic(
+                    t,
+                    "no topology is given, so that it is not known whether a machine has the label '${shown(t.text)}'",
+                )
         }
     }
 
     private fun note(t: Token, message: String) {
-        if (faults.size < RulesReader.MAX_FAULTS) faults += RulesReader.fault(t, message)
+        if (errors.size < RulesReader.MAX_ERRORS) errors += RulesReader.diagnostic(t, message)
     }
 
     private fun shown(text: String) = if (text.length > MAX_SHOWN) text.take(MAX_SHOWN) + "..." else text
--- a/src/main/kotlin/org/honeyjunction/rules/RulesDocument.kt
+++ b/src/main/kotlin/org/honeyjunction/rules/RulesDocument.kt
@@ -28,7 +28,7 @@
      */
     fun check(
         version: Long,
-        known: Analysis.Known? = null,
+        known: Analysis.Inventory? = null,
         file: String = "rules",
         topologyFile: String = "topology",
         alone: Boolean = false,
@@ -40,14 +40,14 @@
                 return Checked(null, listOf("$topologyFile: ${e.message}"), emptyList())
             }
         val read = RulesReader(topology.labels.takeUnless { alone }).read(text)
-        if (read.faults.isNotEmpty()) return Checked(null, read.faults.map { it.at(file) }, emptyList())
+        if (read.errors.isNotEmpty()) return Checked(null, read.errors.map { it.at(file) }, emptyList())
         val warnings =
             Analysis(read.rules, known).warnings().map { w ->
-                val place = read.places[w.rule].let { if (w.clause < 0) it.rule else it.clauses[w.clause] }
+                val place = read.positions[w.rule].let { if (w.clause < 0) it.rule else it.clauses[w.clause] }
                 place.copy(message = "warning: ${w.message}").at(file)
             }
-        val doubts = read.doubts.map { it.copy(message = "warning: ${it.message}").at(file) }
-        return Checked(RuleSet(version, read.rules, topology), emptyList(), doubts + warnings)
+        val uncertainties = read.uncertainties.map { it.copy(message = "warning: ${it.message}").at(file) }
+        return Checked(RuleSet(version, read.rules, topology), emptyList(), uncertainties + warnings)
     }
 
     class Checked(val set: RuleSet?, val errors: List<String>, val warnings: List<String>)
--- a/src/main/kotlin/org/honeyjunction/rules/RulesReader.kt
+++ b/src/main/kotlin/org/honeyjunction/rules/RulesReader.kt
@@ -11,21 +11,26 @@
 import org.honeyjunction.rules.grammar.RulesParser
 
 /** Something wrong with a text, and where: lines and columns count from 1. */
-data class Fault(val line: Int, val column: Int, val message: String) {
+data class Diagnostic(val line: Int, val column: Int, val message: String) {
     fun at(file: String) = "$file:$line:$column: $message"
 }
 
-/** The rules of a text, or what is wrong with it; [places] tells where each rule and its clauses begin, [doubts] what can't be known. */
-class ReadRules(val rules: List<Rule>, val faults: List<Fault>, val places: List<RulePlace>, val doubts: List<Fault> = emptyList())
+/** The rules of a text, or what is wrong with it; [places] tells where each rule and its clauses begin, [uncertainties] what can't be known. */
+class ParsedRules(
+    val rules: List<Rule>,
+    val errors: List<Diagnostic>,
+    val positions: List<RulePosition>,
+    val uncertainties: List<Diagnostic> = emptyList(),
+)
 
 /** Where a rule and each of its clauses begin in the text. */
-class RulePlace(val rule: Fault, val clauses: List<Fault>)
+class RulePosition(val rule: Diagnostic, val clauses: List<Diagnostic>)
 
 /** Reads the language of docs/rules.md. [labels] are those that the topology gives to machines; null: no topology is at hand. */
 class RulesReader(private val labels: Collection<String>? = emptyList()) {
-    fun read(text: String): ReadRules {
-        if (text.length > MAX_CHARS) return failed(Fault(1, 1, "the text is longer than $MAX_CHARS characters"))
-        val faults = ArrayList<Fault>()
+    fun read(text: String): ParsedRules {
+        if (text.length > MAX_CHARS) return failed(Diagnostic(1, 1, "the text is longer than $MAX_CHARS characters"))
+        val errors = ArrayList<Diagnostic>()
         val listener =
             object : BaseErrorListener() {
                 override fun syntaxError(
@@ -36,7 +41,7 @@
                     message: String,
                     e: RecognitionException?,
                 ) {
-                    if (faults.size < MAX_FAULTS) faults += Fault(line, column + 1, clean(message, symbol as? Token))
+                    if (errors.size < MAX_ERRORS) errors += Diagnostic(line, column + 1, clean(message, symbol as? Token))
                 }
             }
         val lexer =
@@ -53,25 +58,25 @@
                 addErrorListener(listener)
             }
         val file = parser.file()
-        if (faults.isNotEmpty()) return ReadRules(emptyList(), faults.sortedWith(compareBy({ it.line }, { it.column })), emptyList())
-        val doubts = ArrayList<Fault>()
-        val checker = Checker(labels.orEmpty(), faults, doubts.takeIf { labels == null })
+        if (errors.isNotEmpty()) return ParsedRules(emptyList(), errors.sortedWith(compareBy({ it.line }, { it.column })), emptyList())
+        val uncertainties = ArrayList<Diagnostic>()
+        val checker = Checker(labels.orEmpty(), errors, uncertainties.takeIf { labels == null })
         val rules = file.rule_().map(checker::rule)
-        if (faults.isNotEmpty()) return ReadRules(emptyList(), faults.take(MAX_FAULTS), emptyList())
-        return ReadRules(
+        if (errors.isNotEmpty()) return ParsedRules(emptyList(), errors.take(MAX_ERRORS), emptyList())
+        return ParsedRules(
             rules,
             emptyList(),
             file.rule_().map { r ->
-                RulePlace(fault(r.start, ""), r.clause().map { fault(it.start, "") })
+                RulePosition(diagnostic(r.start, ""), r.clause().map { diagnostic(it.start, "") })
             },
-            doubts.take(MAX_FAULTS),
+            uncertainties.take(MAX_ERRORS),
         )
     }
 
-    private fun failed(fault: Fault) = ReadRules(emptyList(), listOf(fault), emptyList())
+    private fun failed(fault: Diagnostic) = ParsedRules(emptyList(), listOf(fault), emptyList())
 
     /** Parentheses and "not" nest calls of the parser; chains of "and" and "or" nest the tree. */
-    private fun tooDeep(tokens: List<Token>): Fault? {
+    private fun tooDeep(tokens: List<Token>): Diagnostic? {
         var depth = 0
         var chain = 0
         for (t in tokens) {
@@ -87,7 +92,7 @@
             if (depth > MAX_DEPTH ||
                 chain > MAX_CHAIN
             ) {
-                return fault(
+                return diagnostic(
                     t,
                     "nested too deeply: at most $MAX_DEPTH parentheses and $MAX_CHAIN of \"and\", \"or\" and \"not\" in one clause",
                 )
@@ -96,8 +101,8 @@
         return null
     }
 
-    private fun tooMany(tokens: List<Token>): Fault? =
-        tokens.filter { it.type == RulesLexer.RULE }.getOrNull(MAX_RULES)?.let { fault(it, "more than $MAX_RULES rules") }
+    private fun tooMany(tokens: List<Token>): Diagnostic? =
+        tokens.filter { it.type == RulesLexer.RULE }.getOrNull(MAX_RULES)?.let { diagnostic(it, "more than $MAX_RULES rules") }
 
     /** The parser's words for what it met, without lists that go on for lines. */
     private fun clean(message: String, at: Token?): String {
@@ -125,12 +130,12 @@
         /** What one request to a controller can carry. */
         const val MAX_CHARS = 60_000
         const val MAX_RULES = 1_000
-        const val MAX_FAULTS = 20
+        const val MAX_ERRORS = 20
         private const val MAX_DEPTH = 40
         private const val MAX_CHAIN = 120
         private const val MAX_SHOWN = 40
         private const val MAX_EXPECTED = 60
 
-        internal fun fault(t: Token, message: String) = Fault(t.line, t.charPositionInLine + 1, message)
+        internal fun diagnostic(t: Token, message: String) = Diagnostic(t.line, t.charPositionInLine + 1, message)
     }
 }
--- a/src/main/kotlin/org/honeyjunction/rules/TopologyReader.kt
+++ b/src/main/kotlin/org/honeyjunction/rules/TopologyReader.kt
@@ -18,8 +18,8 @@
     private val schema by lazy { JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(schemaText()) }
 
     fun parse(o: JsonNode): Topology {
-        val faults = schema.validate(o)
-        if (faults.isNotEmpty()) throw MalformedException(faults.take(MAX_FAULTS).joinToString("; ") { it.message.removePrefix("$.") })
+        val errors = schema.validate(o)
+        if (errors.isNotEmpty()) throw MalformedException(errors.take(MAX_ERRORS).joinToString("; ") { it.message.removePrefix("$.") })
         val topology =
             try {
                 Topology(o.listOrEmpty("machines").map(::entry))
@@ -38,5 +38,5 @@
     private fun labels(e: JsonNode, name: String): Map<String, String> =
         e.given(name)?.properties().orEmpty().associate { (label, value) -> label to value.textValue() }
 
-    private const val MAX_FAULTS = 5
+    private const val MAX_ERRORS = 5
 }
--- a/src/main/kotlin/org/honeyjunction/wire/RulesCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/RulesCodec.kt
@@ -2,7 +2,7 @@
 
 import okio.Buffer
 import org.honeyjunction.core.rules.RuleTable
-import org.honeyjunction.core.rules.RuleTable.Compiled
+import org.honeyjunction.core.rules.RuleTable.CompiledClause
 import org.honeyjunction.core.rules.RuleTable.Expr
 import java.util.BitSet
 
@@ -41,7 +41,7 @@
         return RuleTable(version, clauses, clausesOf, places)
     }
 
-    private fun Buffer.writeClause(clause: Compiled) {
+    private fun Buffer.writeClause(clause: CompiledClause) {
         writeInt(clause.rule)
         writeDouble(clause.weight)
         writeBoolean(clause.oneWay)
@@ -49,7 +49,7 @@
     }
 
     private fun Buffer.readClause(labelCount: Int) =
-        Compiled(rule = readInt(), weight = readDouble(), oneWay = readBoolean(), test = readExpr(labelCount, 0))
+        CompiledClause(rule = readInt(), weight = readDouble(), oneWay = readBoolean(), test = readExpr(labelCount, 0))
 
     private fun Buffer.writeExpr(expr: Expr): Buffer =
         when (expr) {
--- a/src/test/kotlin/org/honeyjunction/core/placement/PlacementRoundBenchmark.kt
+++ b/src/test/kotlin/org/honeyjunction/core/placement/PlacementRoundBenchmark.kt
@@ -81,7 +81,7 @@
                 }
             }
         val read = RulesReader(topology.labels).read(text)
-        check(read.faults.isEmpty()) { read.faults }
+        check(read.errors.isEmpty()) { read.errors }
         val book = RuleBook(cluster, RuleSet(if (rules == 0) 0 else 1, read.rules, topology))
         val specs =
             (0 until 20).map { c ->
--- a/src/test/kotlin/org/honeyjunction/core/placement/RulesPlacementTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/placement/RulesPlacementTest.kt
@@ -59,7 +59,7 @@
             )
         val set =
             RulesReader(topology.labels).read(rules).let {
-                check(it.faults.isEmpty()) { it.faults }
+                check(it.errors.isEmpty()) { it.errors }
                 RuleSet(1, it.rules, topology)
             }
         val book = RuleBook(cluster, set)
@@ -311,7 +311,7 @@
     fun `the rules that no machine could ever meet are named`(rules: String, expected: String?) {
         // A name pattern may still give a machine that is to come the label, and something may run there by then.
         val s = Setting(rules, "a")
-        assertEquals(expected.orEmpty(), s.book.forbidding(s.spec(1, "q")).joinToString(" ") { it.name })
+        assertEquals(expected.orEmpty(), s.book.rulesForbidding(s.spec(1, "q")).joinToString(" ") { it.name })
     }
 
     /** With one slot a machine, a round under rules is one assignment: the reference tries them all, by names. */
@@ -333,7 +333,7 @@
                     val weights =
                         s.set.rules
                             .filter {
-                                RuleBook.matches(it.who, org.honeyjunction.core.rules.Shape(spec))
+                                RuleBook.matches(it.selector, org.honeyjunction.core.rules.Shape(spec))
                             }.flatMap { it.clauses }
                             .map { it.weight }
                     // Rules of what runs there may be broken by the newcomer; here only "must ... runs class b" could, and
--- a/src/test/kotlin/org/honeyjunction/rules/RulesPropertiesTest.kt
+++ b/src/test/kotlin/org/honeyjunction/rules/RulesPropertiesTest.kt
@@ -10,12 +10,12 @@
 import org.honeyjunction.core.model.Priority
 import org.honeyjunction.core.rules.Attribute
 import org.honeyjunction.core.rules.Clause
-import org.honeyjunction.core.rules.Op
+import org.honeyjunction.core.rules.ComparisonOperator
 import org.honeyjunction.core.rules.Printer
 import org.honeyjunction.core.rules.Rule
+import org.honeyjunction.core.rules.TaskSelector
 import org.honeyjunction.core.rules.Test
 import org.honeyjunction.core.rules.Value
-import org.honeyjunction.core.rules.Who
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
@@ -23,14 +23,14 @@
 class RulesPropertiesTest {
     private val names = Arbitraries.of("a", "roast-match-serve", "quote \" and \\ slash", "ñandú", "#", "")
 
-    private fun who(depth: Int): Arbitrary<Who> {
-        val leaf: Arbitrary<Who> =
+    private fun who(depth: Int): Arbitrary<TaskSelector> {
+        val leaf: Arbitrary<TaskSelector> =
             Arbitraries.oneOf(
                 listOf(
-                    Arbitraries.just(Who.All),
-                    Combinators.combine(Arbitraries.of(Who.Field.entries), names).`as` { f, n -> Who.Named(f, n) },
-                    Arbitraries.of(JobKind.entries).map { Who.OfKind(it) },
-                    Arbitraries.of(Priority.entries).map { Who.OfPriority(it) },
+                    Arbitraries.just(TaskSelector.All),
+                    Combinators.combine(Arbitraries.of(TaskSelector.Field.entries), names).`as` { f, n -> TaskSelector.Named(f, n) },
+                    Arbitraries.of(JobKind.entries).map { TaskSelector.OfKind(it) },
+                    Arbitraries.of(Priority.entries).map { TaskSelector.OfPriority(it) },
                 ),
             )
         if (depth == 0) return leaf
@@ -38,14 +38,14 @@
         return Arbitraries.oneOf(
             listOf(
                 leaf,
-                inner.map { Who.Not(it) },
+                inner.map { TaskSelector.Not(it) },
                 Combinators.combine(inner, inner).`as` {
                     a,
                     b,
                     ->
-                    Who.And(a, b)
+                    TaskSelector.And(a, b)
                 },
-                Combinators.combine(inner, inner).`as` { a, b -> Who.Or(a, b) },
+                Combinators.combine(inner, inner).`as` { a, b -> TaskSelector.Or(a, b) },
             ),
         )
     }
@@ -56,15 +56,26 @@
         val leaf: Arbitrary<Test> =
             Arbitraries.oneOf(
                 listOf(
-                    Combinators.combine(texts, Arbitraries.of(Op.EQ, Op.NE), names).`as` { a, o, n -> Test.Compare(a, o, Value.Text(n)) },
-                    Combinators.combine(Arbitraries.of(Attribute.Amount.entries), Arbitraries.of(Op.entries), numbers).`as` {
+                    Combinators.combine(texts, Arbitraries.of(ComparisonOperator.EQ, ComparisonOperator.NE), names).`as` {
                         a,
                         o,
                         n,
                         ->
-                        Test.Compare(a, o, n)
+                        Test.Compare(a, o, Value.Text(n))
                     },
-                    Arbitraries.of(true, false).map { Test.Compare(Attribute.Spot, Op.EQ, Value.Flag(it)) },
+                    Combinators
+                        .combine(
+                            Arbitraries.of(Attribute.Amount.entries),
+                            Arbitraries.of(ComparisonOperator.entries),
+                            numbers,
+                        ).`as` {
+                            a,
+                            o,
+                            n,
+                            ->
+                            Test.Compare(a, o, n)
+                        },
+                    Arbitraries.of(true, false).map { Test.Compare(Attribute.Spot, ComparisonOperator.EQ, Value.Flag(it)) },
                     Combinators.combine(texts, names.list().ofMinSize(1).ofMaxSize(3)).`as` {
                         a,
                         all,
@@ -109,7 +120,7 @@
         @ForAll("rules") rules: List<Rule>,
     ) {
         val read = RulesReader(listOf("rack")).read(Printer.text(rules))
-        assertEquals(emptyList<Fault>(), read.faults, Printer.text(rules))
+        assertEquals(emptyList<Diagnostic>(), read.errors, Printer.text(rules))
         assertEquals(rules, read.rules)
     }
 
@@ -164,7 +175,7 @@
     ) {
         val read = RulesReader(listOf("rack")).read(text)
         val lines = text.split('\n')
-        read.faults.forEach { f ->
+        read.errors.forEach { f ->
             assertTrue(f.line in 1..lines.size && f.column in 1..lines[f.line - 1].length + 1, "$f in ${Printer.text(read.rules)}")
             assertTrue('\n' !in f.message, f.message)
         }
--- a/src/test/kotlin/org/honeyjunction/rules/RulesReaderTest.kt
+++ b/src/test/kotlin/org/honeyjunction/rules/RulesReaderTest.kt
@@ -4,9 +4,9 @@
 import org.honeyjunction.core.rules.Analysis
 import org.honeyjunction.core.rules.Attribute
 import org.honeyjunction.core.rules.Clause
-import org.honeyjunction.core.rules.Op
+import org.honeyjunction.core.rules.ComparisonOperator
+import org.honeyjunction.core.rules.TaskSelector
 import org.honeyjunction.core.rules.Value
-import org.honeyjunction.core.rules.Who
 import org.honeyjunction.wire.Json
 import org.honeyjunction.wire.MalformedException
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -43,39 +43,45 @@
             """,
                 "rack",
             )
-        assertEquals(emptyList<Fault>(), read.faults)
+        assertEquals(emptyList<Diagnostic>(), read.errors)
         val (matching, trainer, quotes) = read.rules
-        assertEquals(listOf(Clause(Asked.Compare(Attribute.Amount.GPUS, Op.GE, Value.Number(1.0)), null)), matching.clauses)
-        assertEquals(Who.And(Who.Named(Who.Field.CLASS, "blend-gang-train"), Who.OfKind(JobKind.GANG)), trainer.who)
+        assertEquals(listOf(Clause(Asked.Compare(Attribute.Amount.GPUS, ComparisonOperator.GE, Value.Number(1.0)), null)), matching.clauses)
+        assertEquals(
+            TaskSelector.And(TaskSelector.Named(TaskSelector.Field.CLASS, "blend-gang-train"), TaskSelector.OfKind(JobKind.GANG)),
+            trainer.selector,
+        )
         assertEquals(Clause(Asked.Same(Attribute.Label("rack")), 20.0), trainer.clauses.single())
-        assertEquals(Clause(Asked.Not(Asked.Runs(Who.Named(Who.Field.CLASS, "spread-backtest-array"))), null), quotes.clauses[0])
+        assertEquals(
+            Clause(Asked.Not(Asked.Runs(TaskSelector.Named(TaskSelector.Field.CLASS, "spread-backtest-array"))), null),
+            quotes.clauses[0],
+        )
         assertEquals(2.5, quotes.clauses[2].weight)
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("wrong")
     fun `what is wrong is told with its place`(text: String, expected: String) {
-        val faults = read(text, "rack").faults
-        assertEquals(expected, faults.first().at("f"), faults.toString())
-        assertTrue(faults.size <= RulesReader.MAX_FAULTS)
+        val errors = read(text, "rack").errors
+        assertEquals(expected, errors.first().at("f"), errors.toString())
+        assertTrue(errors.size <= RulesReader.MAX_ERRORS)
     }
 
     @Test
     fun `several errors at once`() {
-        val faults = read(rule("must machine.gpu >= 1\n  prefer machine.zone = 3 weight -1\n  must same rock"), "rack").faults
-        assertEquals(listOf(2, 3, 3, 4), faults.map { it.line })
+        val errors = read(rule("must machine.gpu >= 1\n  prefer machine.zone = 3 weight -1\n  must same rock"), "rack").errors
+        assertEquals(listOf(2, 3, 3, 4), errors.map { it.line })
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("suspicious")
     fun `warnings`(text: String, expected: String?) {
         val read = read(text, "rack")
-        assertEquals(emptyList<Fault>(), read.faults)
+        assertEquals(emptyList<Diagnostic>(), read.errors)
         val known =
-            Analysis.Known(
+            Analysis.Inventory(
                 setOf("desk"),
                 setOf("a", "b"),
-                listOf(Analysis.KnownMachine("g4", "a", false, 16.0, 4.0, 64.0), Analysis.KnownMachine("c8", "b", true, 8.0, 0.0, 32.0)),
+                listOf(Analysis.MachineKind("g4", "a", false, 16.0, 4.0, 64.0), Analysis.MachineKind("c8", "b", true, 8.0, 0.0, 32.0)),
             )
         val warnings = Analysis(read.rules, known).warnings().map { it.message }
         assertEquals(expected, warnings.firstOrNull(), warnings.toString())
--- a/src/test/kotlin/org/honeyjunction/simulation/RulesSimulationTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/RulesSimulationTest.kt
@@ -18,7 +18,7 @@
     private fun rules(version: Long, text: String, topology: String? = null): RuleSet {
         val labels = topology?.let { TopologyReader.parse(Json.read(it.toByteArray())) } ?: Topology.EMPTY
         val read = RulesReader(labels.labels).read(text)
-        assertEquals(emptyList<Any>(), read.faults)
+        assertEquals(emptyList<Any>(), read.errors)
         return RuleSet(version, read.rules, labels)
     }
 
--- a/src/test/kotlin/org/honeyjunction/wire/GoldenFrames.kt
+++ b/src/test/kotlin/org/honeyjunction/wire/GoldenFrames.kt
@@ -16,7 +16,7 @@
 import org.honeyjunction.core.placement.TeamShare
 import org.honeyjunction.core.placement.UpcomingCapacity
 import org.honeyjunction.core.rules.RuleTable
-import org.honeyjunction.core.rules.RuleTable.Compiled
+import org.honeyjunction.core.rules.RuleTable.CompiledClause
 import org.honeyjunction.core.rules.RuleTable.Expr
 import java.util.BitSet
 
@@ -118,9 +118,14 @@
         RuleTable(
             23,
             listOf(
-                Compiled(5, Double.POSITIVE_INFINITY, false, Expr.And(Expr.InPlaces(bits(0, 2, 70)), Expr.Not(Expr.Runs(bits(1, 64))))),
-                Compiled(6, 12.5, true, Expr.Or(Expr.Caches(9), Expr.Same(1))),
-                Compiled(8, 0.75, false, Expr.Runs(bits())),
+                CompiledClause(
+                    5,
+                    Double.POSITIVE_INFINITY,
+                    false,
+                    Expr.And(Expr.InPlaces(bits(0, 2, 70)), Expr.Not(Expr.Runs(bits(1, 64)))),
+                ),
+                CompiledClause(6, 12.5, true, Expr.Or(Expr.Caches(9), Expr.Same(1))),
+                CompiledClause(8, 0.75, false, Expr.Runs(bits())),
             ),
             listOf(intArrayOf(0, 2), intArrayOf(1), intArrayOf()),
             listOf(intArrayOf(3, 4), intArrayOf(5, -1), intArrayOf(6, 7)),
