--- a/src/main/antlr4/org/honeyjunction/rules/grammar/Rules.g4
+++ b/src/main/antlr4/org/honeyjunction/rules/grammar/Rules.g4
@@ -1,11 +1,11 @@
-/** The language of rules: what a machine must be for a task, and what it would better be. docs/rules.md uses these terms. */
+/** The language of placement rules: requirements and preferences of tasks for the machines that run them; see docs/rules.md. */
 grammar Rules;
 
 file: rule_* EOF;
 
 rule_: RULE name=STRING 'for' who '{' clause* '}';
 
-// Which tasks a rule is for, and which tasks "runs" speaks of.
+// Selects tasks: those that a rule applies to, or the running tasks that a "machine runs" test looks for.
 who: 'not' who                                   # whoNot
    | who 'and' who                               # whoAnd
    | who 'or' who                                # whoOr
--- a/src/main/kotlin/org/honeyjunction/core/rules/Printer.kt
+++ b/src/main/kotlin/org/honeyjunction/core/rules/Printer.kt
@@ -1,9 +1,11 @@
 package org.honeyjunction.core.rules
 
-/** Rules as text that reads as the same rules. */
+/** Formats rules as text of the rule language; parsing the text gives equal rules. */
 object Printer {
+    /** The text of all [rules], in order. */
     fun text(rules: List<Rule>): String = rules.joinToString("\n", transform = ::text)
 
+    /** The text of one rule, with a line for each clause. */
     fun text(rule: Rule): String =
         buildString {
             append("rule ").append(quote(rule.name)).append(" for ").append(text(rule.selector)).append(" {\n")
@@ -11,25 +13,29 @@
             append("}\n")
         }
 
+    /** The text of one clause, without indentation. */
     fun text(clause: Clause): String {
-        val way = if (clause.oneWay) " one way" else ""
+        val suffix = if (clause.oneWay) " one way" else ""
         val verb = if (clause.weight == null) "must" else "prefer"
-        return "$verb ${text(clause.test)}$way" + clause.weight?.let { " weight ${number(it)}" }.orEmpty()
+        return "$verb ${text(clause.test)}$suffix" + clause.weight?.let { " weight ${number(it)}" }.orEmpty()
     }
 
-    fun text(who: TaskSelector): String =
-        when (who) {
+    /** The text of a task selector. */
+    fun text(selector: TaskSelector): String =
+        when (selector) {
             TaskSelector.All -> "all"
-            is TaskSelector.Named -> "${who.field.name.lowercase()} ${quote(who.name)}"
-            is TaskSelector.OfKind -> "kind ${who.kind.name.lowercase()}"
-            is TaskSelector.OfPriority -> "priority ${who.priority.name.lowercase()}"
-            is TaskSelector.Not -> "not ${nested(who.of)}"
-            is TaskSelector.And -> "${nested(who.left)} and ${nested(who.right)}"
-            is TaskSelector.Or -> "${nested(who.left)} or ${nested(who.right)}"
+            is TaskSelector.Named -> "${selector.field.name.lowercase()} ${quote(selector.name)}"
+            is TaskSelector.OfKind -> "kind ${selector.kind.name.lowercase()}"
+            is TaskSelector.OfPriority -> "priority ${selector.priority.name.lowercase()}"
+            is TaskSelector.Not -> "not ${nested(selector.of)}"
+            is TaskSelector.And -> "${nested(selector.left)} and ${nested(selector.right)}"
+            is TaskSelector.Or -> "${nested(selector.left)} or ${nested(selector.right)}"
         }
 
-    private fun nested(who: TaskSelector) = if (who is TaskSelector.And || who is TaskSelector.Or) "(${text(who)})" else text(who)
+    private fun nested(selector: TaskSelector) =
+        if (selector is TaskSelector.And || selector is TaskSelector.Or) "(${text(selector)})" else text(selector)
 
+    /** The text of a test. */
     fun text(test: Test): String =
         when (test) {
             is Test.Compare -> {
@@ -52,6 +58,7 @@
 
     private fun nested(test: Test) = if (test is Test.And || test is Test.Or) "(${text(test)})" else text(test)
 
+    /** The text of a constant; strings are quoted. */
     fun text(value: Value): String =
         when (value) {
             is Value.Text -> quote(value.text)
@@ -59,7 +66,7 @@
             is Value.Flag -> value.on.toString()
         }
 
-    private fun number(d: Double) = java.math.BigDecimal(d.toString()).stripTrailingZeros().toPlainString()
+    private fun number(number: Double) = java.math.BigDecimal(number.toString()).stripTrailingZeros().toPlainString()
 
-    private fun quote(s: String) = "\"" + s.replace("\\", "\\\\").replace("\"", "\\\"") + "\""
+    private fun quote(text: String) = "\"" + text.replace("\\", "\\\\").replace("\"", "\\\"") + "\""
 }
--- a/src/main/kotlin/org/honeyjunction/core/rules/RuleBook.kt
+++ b/src/main/kotlin/org/honeyjunction/core/rules/RuleBook.kt
@@ -12,52 +12,66 @@
 import org.honeyjunction.core.model.zonesFor
 import java.util.BitSet
 
-/** What rules can tell of a task. */
+/** The attributes of a task that rules can refer to. Every rule treats tasks of equal shapes alike. */
 data class Shape(val jobClass: String, val team: String, val kind: JobKind, val priority: Priority, val image: String) {
     constructor(spec: JobSpec) : this(spec.jobClass, spec.team, spec.kind, spec.priority, spec.image)
 }
 
-/** What a rule set means for this cluster; new shapes and places are compiled when they are first met. */
+/**
+ * Compiles the rule set [set] for one cluster into a [RuleTable]. The table identifies shapes (tasks that every rule treats alike)
+ * and places (machines with the same attributes) by dense indices; each is added when it is first seen.
+ */
 class RuleBook(private val cluster: Cluster, val set: RuleSet) {
     private data class Place(val type: Int, val zone: Int, val spot: Boolean, val labels: Map<String, String>, val size: MachineType?)
 
-    private class StaticLeaf(val test: Test.Static, val yes: BitSet)
+    /** A static test of the compiled rules, and the places that meet it. */
+    private class StaticLeaf(val test: Test.Static, val matchingPlaces: BitSet)
 
-    private class RunsLeaf(val selector: TaskSelector, val yes: BitSet)
+    /** The selector of a `machine runs` test, and the shapes that it selects. */
+    private class RunsLeaf(val selector: TaskSelector, val matchingShapes: BitSet)
 
-    private val statics = ArrayList<StaticLeaf>()
-    private val runs = ArrayList<RunsLeaf>()
+    private val staticLeaves = ArrayList<StaticLeaf>()
+    private val runsLeaves = ArrayList<RunsLeaf>()
     private val labelNames = NameTable()
     private val labelValues = NameTable()
     private val places = HashMap<Place, Int>()
     private val placeLabels = ArrayList<IntArray>()
     private val shapes = HashMap<Shape, Int>()
     private val clausesOf = ArrayList<IntArray>()
-    private val owners = ArrayList<Pair<Rule, Clause>>()
-    private val offers = HashMap<Triple<Int, Int, Long>, Boolean>()
+
+    /** For each compiled clause, by index: its rule and its source. */
+    private val sources = ArrayList<Pair<Rule, Clause>>()
+    private val mayRentCache = HashMap<Triple<Int, Int, Long>, Boolean>()
+
+    /** Whether there are no rules. */
     val empty: Boolean get() = set.rules.isEmpty()
+
+    /** The compiled rules; its lists and sets grow as shapes and places are added. */
     val table: RuleTable
 
     init {
         set.topology.labels.forEach(labelNames::index)
         val compiled = ArrayList<RuleTable.CompiledClause>()
-        set.rules.forEachIndexed { r, rule ->
+        set.rules.forEachIndexed { ruleIndex, rule ->
             for (clause in rule.clauses) {
-                owners += rule to clause
-                compiled += RuleTable.CompiledClause(r, clause.weight ?: Double.POSITIVE_INFINITY, clause.oneWay, compile(clause.test))
+                sources += rule to clause
+                compiled +=
+                    RuleTable.CompiledClause(ruleIndex, clause.weight ?: Double.POSITIVE_INFINITY, clause.oneWay, compile(clause.test))
             }
         }
         table = RuleTable(set.version, compiled, clausesOf, placeLabels)
     }
 
-    fun rule(clause: Int): Rule = owners[clause].first
+    /** The rule that the compiled clause at index [clause] belongs to. */
+    fun rule(clause: Int): Rule = sources[clause].first
 
-    fun clause(clause: Int): Clause = owners[clause].second
+    /** The source of the compiled clause at index [clause]. */
+    fun clause(clause: Int): Clause = sources[clause].second
 
     private fun compile(test: Test): RuleTable.Expr =
         when (test) {
-            is Test.Static -> StaticLeaf(test, BitSet()).also(statics::add).let { RuleTable.Expr.InPlaces(it.yes) }
-            is Test.Runs -> RunsLeaf(test.selector, BitSet()).also(runs::add).let { RuleTable.Expr.Runs(it.yes) }
+            is Test.Static -> StaticLeaf(test, BitSet()).also(staticLeaves::add).let { RuleTable.Expr.InPlaces(it.matchingPlaces) }
+            is Test.Runs -> RunsLeaf(test.selector, BitSet()).also(runsLeaves::add).let { RuleTable.Expr.Runs(it.matchingShapes) }
             is Test.Caches -> RuleTable.Expr.Caches(cluster.images.index(test.image))
             is Test.Same -> RuleTable.Expr.Same(labelIndex(test.attribute))
             is Test.Not -> RuleTable.Expr.Not(compile(test.of))
@@ -65,29 +79,29 @@
             is Test.Or -> RuleTable.Expr.Or(compile(test.left), compile(test.right))
         }
 
-    /** Zone and type come first among the labels of a place. */
-    private fun labelIndex(a: Attribute): Int =
-        when (a) {
+    /** The index of [attribute] among the labels of a place: zone and type come first, then the labels of the topology. */
+    private fun labelIndex(attribute: Attribute): Int =
+        when (attribute) {
             Attribute.Zone -> ZONE
             Attribute.Type -> TYPE
-            else -> LABELS + labelNames.index(a.word)
+            else -> FIRST_LABEL + labelNames.index(attribute.word)
         }
 
-    /** The dense index of what all tasks like [spec]'s are to the rules; below 0 where no rule has to do with them. */
+    /** The index of the shape of the tasks of [spec]; [NO_SHAPE] where no rule applies to them or tests for them. */
     fun shape(spec: JobSpec): Int {
         if (empty) return NO_SHAPE
         val shape = Shape(spec)
         val index =
             shapes.getOrPut(shape) {
                 val index = clausesOf.size
-                clausesOf += owners.indices.filter { matches(owners[it].first.selector, shape) }.toIntArray()
-                runs.forEach { if (matches(it.selector, shape)) it.yes.set(index) }
+                clausesOf += sources.indices.filter { matches(sources[it].first.selector, shape) }.toIntArray()
+                runsLeaves.forEach { if (matches(it.selector, shape)) it.matchingShapes.set(index) }
                 index
             }
-        return if (clausesOf[index].isEmpty() && runs.none { it.yes[index] }) NO_SHAPE else index
+        return if (clausesOf[index].isEmpty() && runsLeaves.none { it.matchingShapes[index] }) NO_SHAPE else index
     }
 
-    /** The dense index of machines like this one. */
+    /** The index of the place of a machine; [NO_PLACE] where there are no rules, or where its type or zone is not known. */
     fun place(name: String, type: Int, zone: Int, spot: Boolean): Int {
         if (empty || type < 0 || zone < 0) return NO_PLACE
         return index(
@@ -99,52 +113,55 @@
         places.getOrPut(place) {
             val index = placeLabels.size
             val named =
-                set.topology.labels.map { l ->
-                    place.labels[l]?.takeIf { it != Topology.UNKNOWN }?.let(labelValues::index)
+                set.topology.labels.map { label ->
+                    place.labels[label]?.takeIf { it != Topology.UNKNOWN }?.let(labelValues::index)
                         ?: NameTable.ABSENT
                 }
-            // Labels that rules name but no topology gives are unknown everywhere.
+            // A label that rules mention but the topology does not assign has no value on any machine.
             val rest = List(maxOf(0, labelNames.size - named.size)) { NameTable.ABSENT }
             placeLabels += (listOf(place.zone, place.type) + named + rest).toIntArray()
-            statics.forEach { if (decide(it.test, place) == true) it.yes.set(index) }
+            staticLeaves.forEach { if (evaluate(it.test, place) == true) it.matchingPlaces.set(index) }
             index
         }
 
-    /** As of a machine that is yet to be rented, so that its name tells nothing of it. */
-    fun offerPlace(type: Int, zone: Int, spot: Boolean): Int = if (empty) NO_PLACE else index(unnamed(type, zone, spot))
+    /** The index of the place of a machine that is not rented yet; labels that depend on its name are unknown. */
+    fun offerPlace(type: Int, zone: Int, spot: Boolean): Int = if (empty) NO_PLACE else index(offeredPlace(type, zone, spot))
 
-    /** Whether a machine of this kind, new and empty, certainly meets every must: only then may it be rented for the tasks of [shape]. */
+    /**
+     * Whether a machine of this kind may be rented for the tasks of [shape]: only if a new, empty machine certainly meets every
+     * requirement. A requirement whose outcome is not known before the machine exists counts as not met.
+     */
     fun mayRent(shape: Int, type: Int, zone: Int, spot: Boolean): Boolean {
         if (shape < 0) return true
-        return offers.getOrPut(Triple(shape, type, zone * 2L + if (spot) 1 else 0)) {
-            val place = unnamed(type, zone, spot)
-            table.clausesOf[shape].all { c -> clause(c).weight != null || foresee(clause(c).test, place, fresh = true) == true }
+        return mayRentCache.getOrPut(Triple(shape, type, zone * 2L + if (spot) 1 else 0)) {
+            val place = offeredPlace(type, zone, spot)
+            table.clausesOf[shape].all { c -> clause(c).weight != null || evaluateOffer(clause(c).test, place, fresh = true) == true }
         }
     }
 
-    /** Whether the tasks of [shape] must all be in one zone. */
+    /** Whether a requirement asks all tasks of a job of [shape] to run in the same zone. */
     fun mustShareZone(shape: Int): Boolean =
         shape >= 0 && table.clausesOf[shape].any { clause(it).weight == null && clause(it).test == Test.Same(Attribute.Zone) }
 
     /**
-     * The rules that keep [spec] from every machine that there could ever be: one that does so alone, or all that do it
-     * together. Empty where some machine may do.
+     * The rules that forbid the tasks of [spec] on every machine that the cluster could ever have: the first rule that alone
+     * forbids all of them, otherwise every rule that forbids some. Empty where at least one kind of machine is not forbidden.
      */
     fun rulesForbidding(spec: JobSpec): List<Rule> {
         if (empty) return emptyList()
         val shape = Shape(spec)
-        val musts = owners.filter { (rule, clause) -> clause.weight == null && matches(rule.selector, shape) }
-        val against =
+        val requirements = sources.filter { (rule, clause) -> clause.weight == null && matches(rule.selector, shape) }
+        val forbiddingByPlace =
             offersFor(spec).map { place ->
-                musts.filter { (_, clause) -> foresee(clause.test, place, fresh = false) == false }.map { it.first }.toSet()
+                requirements.filter { (_, clause) -> evaluateOffer(clause.test, place, fresh = false) == false }.map { it.first }.toSet()
             }
-        if (against.any { it.isEmpty() }) return emptyList()
-        val alone = against.reduceOrNull { a, b -> a intersect b }.orEmpty()
-        val together = against.flatten().toSet()
+        if (forbiddingByPlace.any { it.isEmpty() }) return emptyList()
+        val alone = forbiddingByPlace.reduceOrNull { a, b -> a intersect b }.orEmpty()
+        val together = forbiddingByPlace.flatten().toSet()
         return set.rules.filter { it in alone }.take(1).ifEmpty { set.rules.filter { it in together } }
     }
 
-    /** Whether the cluster could ever run [spec] by these rules. */
+    /** Whether the cluster could ever run [spec] under these rules. */
     fun checkFeasibility(spec: JobSpec): Feasibility {
         val verdict = cluster.checkFeasibility(spec)
         val forbidding = if (verdict == Feasibility.Feasible) rulesForbidding(spec) else emptyList()
@@ -154,70 +171,76 @@
         )
     }
 
+    /** The places of all kinds of machines that the cluster could rent and that the tasks of [spec] may use. */
     private fun offersFor(spec: JobSpec): List<Place> =
         cluster.types.filterValues(spec::mayUse).flatMap { (index, type) ->
             val zones = cluster.zonesFor(spec, type)
             type.zones.filter { (zones shr it) and 1L != 0L }.flatMap { zone ->
-                listOf(false, true).filter { spec.spot || !it }.map { unnamed(index, zone, it) }
+                listOf(false, true).filter { spec.spot || !it }.map { offeredPlace(index, zone, it) }
             }
         }
 
-    private fun unnamed(type: Int, zone: Int, spot: Boolean) =
+    private fun offeredPlace(type: Int, zone: Int, spot: Boolean) =
         Place(type, zone, spot, set.topology.labels(null, cluster.typeNames.name(type), cluster.zones.name(zone)), cluster.types[type])
 
-    /** True, false, or null: not known of a machine that is not there yet. [fresh]: as it is when it comes up, with nothing on it. */
-    private fun foresee(test: Test, place: Place, fresh: Boolean): Boolean? =
+    /**
+     * Evaluates [test] for a machine that does not exist yet; null where the outcome cannot be known in advance. [fresh]: assumes
+     * that the machine runs and caches nothing.
+     */
+    private fun evaluateOffer(test: Test, place: Place, fresh: Boolean): Boolean? =
         when (test) {
-            is Test.Static -> decide(test, place)
+            is Test.Static -> evaluate(test, place)
             is Test.Runs, is Test.Caches -> if (fresh) false else null
-            // Where its job's other tasks will be is the round's matter.
+            // The places of the job's other tasks are decided in the placement round, so the test counts as met here.
             is Test.Same -> true
-            is Test.Not -> foresee(test.of, place, fresh)?.not()
-            is Test.And -> both(foresee(test.left, place, fresh), foresee(test.right, place, fresh), decisive = false)
-            is Test.Or -> both(foresee(test.left, place, fresh), foresee(test.right, place, fresh), decisive = true)
+            is Test.Not -> evaluateOffer(test.of, place, fresh)?.not()
+            is Test.And -> combine(evaluateOffer(test.left, place, fresh), evaluateOffer(test.right, place, fresh), decisive = false)
+            is Test.Or -> combine(evaluateOffer(test.left, place, fresh), evaluateOffer(test.right, place, fresh), decisive = true)
         }
 
-    private fun both(a: Boolean?, b: Boolean?, decisive: Boolean): Boolean? =
-        if (a == decisive || b == decisive) {
+    /** "And" ([decisive] is false) or "or" ([decisive] is true) in three-valued logic, where null means unknown. */
+    private fun combine(left: Boolean?, right: Boolean?, decisive: Boolean): Boolean? =
+        if (left == decisive || right == decisive) {
             decisive
-        } else if (a == null || b == null) {
+        } else if (left == null || right == null) {
             null
         } else {
             !decisive
         }
 
-    private fun decide(test: Test.Static, place: Place): Boolean? =
+    /** Evaluates a static test; null where it depends on a label that is unknown before the machine has a name. */
+    private fun evaluate(test: Test.Static, place: Place): Boolean? =
         when (test) {
             is Test.Compare -> compare(value(test.attribute, place), test.op, test.value, place, test.attribute)
             is Test.OneOf ->
                 test.values
                     .map { compare(value(test.attribute, place), ComparisonOperator.EQ, it, place, test.attribute) }
-                    .reduce { a, b -> both(a, b, decisive = true) }
+                    .reduce { a, b -> combine(a, b, decisive = true) }
         }
 
-    private fun value(a: Attribute, place: Place): Value? =
-        when (a) {
+    private fun value(attribute: Attribute, place: Place): Value? =
+        when (attribute) {
             Attribute.Type -> Value.Text(cluster.typeNames.name(place.type))
             Attribute.Zone -> Value.Text(cluster.zones.name(place.zone))
             Attribute.Spot -> Value.Flag(place.spot)
             Attribute.Amount.CPUS -> place.size?.let { Value.Number(it.size.cpus) }
             Attribute.Amount.GPUS -> place.size?.let { Value.Number(it.size.gpus) }
             Attribute.Amount.MEMORY -> place.size?.let { Value.Number(it.size.memoryGb) }
-            is Attribute.Label -> place.labels[a.word]?.let { Value.Text(it) }
+            is Attribute.Label -> place.labels[attribute.word]?.let { Value.Text(it) }
         }
 
-    /** A label that a machine does not have equals nothing. */
-    private fun compare(have: Value?, op: ComparisonOperator, want: Value, place: Place, a: Attribute): Boolean? {
-        if (a is Attribute.Label && place.labels[a.word] == Topology.UNKNOWN) return null
-        if (have is Value.Number && want is Value.Number) return compared(have.number.compareTo(want.number), op)
+    /** Compares the value of [attribute]; null where the label is unknown. A label that the machine does not have equals no value. */
+    private fun compare(actual: Value?, op: ComparisonOperator, expected: Value, place: Place, attribute: Attribute): Boolean? {
+        if (attribute is Attribute.Label && place.labels[attribute.word] == Topology.UNKNOWN) return null
+        if (actual is Value.Number && expected is Value.Number) return orderMatches(actual.number.compareTo(expected.number), op)
         return when (op) {
-            ComparisonOperator.EQ -> have == want
-            ComparisonOperator.NE -> have != want
+            ComparisonOperator.EQ -> actual == expected
+            ComparisonOperator.NE -> actual != expected
             ComparisonOperator.LT, ComparisonOperator.LE, ComparisonOperator.GT, ComparisonOperator.GE -> false
         }
     }
 
-    private fun compared(order: Int, op: ComparisonOperator) =
+    private fun orderMatches(order: Int, op: ComparisonOperator) =
         when (op) {
             ComparisonOperator.EQ -> order == 0
             ComparisonOperator.NE -> order != 0
@@ -228,26 +251,31 @@
         }
 
     companion object {
+        /** The shape of tasks that no rule concerns. */
         const val NO_SHAPE = -1
+
+        /** The place of machines about which the rules cannot say anything. */
         const val NO_PLACE = -1
+
         private const val ZONE = 0
         private const val TYPE = 1
-        private const val LABELS = 2
+        private const val FIRST_LABEL = 2
 
-        fun matches(who: TaskSelector, shape: Shape): Boolean =
-            when (who) {
+        /** Whether [selector] selects the tasks of [shape]. */
+        fun matches(selector: TaskSelector, shape: Shape): Boolean =
+            when (selector) {
                 TaskSelector.All -> true
                 is TaskSelector.Named ->
-                    when (who.field) {
+                    when (selector.field) {
                         TaskSelector.Field.CLASS -> shape.jobClass
                         TaskSelector.Field.TEAM -> shape.team
                         TaskSelector.Field.IMAGE -> shape.image
-                    } == who.name
-                is TaskSelector.OfKind -> shape.kind == who.kind
-                is TaskSelector.OfPriority -> shape.priority == who.priority
-                is TaskSelector.Not -> !matches(who.of, shape)
-                is TaskSelector.And -> matches(who.left, shape) && matches(who.right, shape)
-                is TaskSelector.Or -> matches(who.left, shape) || matches(who.right, shape)
+                    } == selector.name
+                is TaskSelector.OfKind -> shape.kind == selector.kind
+                is TaskSelector.OfPriority -> shape.priority == selector.priority
+                is TaskSelector.Not -> !matches(selector.of, shape)
+                is TaskSelector.And -> matches(selector.left, shape) && matches(selector.right, shape)
+                is TaskSelector.Or -> matches(selector.left, shape) || matches(selector.right, shape)
             }
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/rules/RuleCostCache.kt
+++ b/src/main/kotlin/org/honeyjunction/core/rules/RuleCostCache.kt
@@ -1,33 +1,42 @@
 package org.honeyjunction.core.rules
 
 /**
- * What a [RuleTable] says during one round, each thing worked out once: a fleet has many machines but few kinds of them,
- * with few sets of tasks on them, and the tasks of a job are alike.
+ * Caches the costs of a [RuleTable] during one placement round. The cache stays small because a fleet has many machines but few
+ * kinds of machines, with few combinations of running tasks, and because the tasks of a job are alike.
  */
 class RuleCostCache(val table: RuleTable) {
-    private data class Seen(val place: Int, val running: List<Int>, val images: List<Int>)
+    private data class ContextKey(val place: Int, val running: List<Int>, val images: List<Int>)
 
-    private data class Asked(val shape: Int, val scene: Int, val mates: List<Int>)
+    private data class CostKey(val shape: Int, val contextIndex: Int, val peerPlaces: List<Int>)
 
-    private val scenes = HashMap<Seen, Int>()
-    private val costs = HashMap<Asked, Double>()
-    private val caching = table.clauses.any { c -> c.test.has { it is RuleTable.Expr.Caches } }
+    private val contextIndices = HashMap<ContextKey, Int>()
+    private val costs = HashMap<CostKey, Double>()
+    private val testsCaches = table.clauses.any { clause -> clause.test.has { it is RuleTable.Expr.Caches } }
+
+    /** Whether there are no rules. */
     val empty get() = table.empty
 
-    /** The dense index of scenes in which the rules see the same; tasks of one shape count once, which is all that rules tell. */
-    fun contextIndex(s: RuleTable.MachineContext): Int {
-        // Two of a kind matter to one of them: it is beside the other.
-        val running = s.running.filter { it >= 0 }.sorted().let { all -> all.filterIndexed { i, shape -> i < 2 || all[i - 2] != shape } }
-        return scenes.getOrPut(Seen(s.place, running, if (caching) s.images.sorted() else emptyList())) { scenes.size }
+    /** The dense index of the contexts that the rules treat like [context]. The order of the tasks does not matter. */
+    fun contextIndex(context: RuleTable.MachineContext): Int {
+        // At most two tasks of each shape are kept: with two, each already runs beside one of its own shape.
+        val running =
+            context.running
+                .filter { it >= 0 }
+                .sorted()
+                .let { all -> all.filterIndexed { i, shape -> i < 2 || all[i - 2] != shape } }
+        return contextIndices.getOrPut(
+            ContextKey(context.place, running, if (testsCaches) context.images.sorted() else emptyList()),
+        ) { contextIndices.size }
     }
 
-    /** As [RuleTable.cost]; [index] is what [scene] gave for [scene]. */
-    fun cost(shape: Int, scene: RuleTable.MachineContext, index: Int, mates: List<Int>): Double {
+    /** The result of [RuleTable.cost]; [index] must be the [contextIndex] of [context]. */
+    fun cost(shape: Int, context: RuleTable.MachineContext, index: Int, peerPlaces: List<Int>): Double {
         if (shape < 0) return 0.0
-        val company = if (table.hasSameClause(shape)) mates else emptyList()
-        return costs.getOrPut(Asked(shape, index, company)) { table.cost(shape, scene, company) }
+        val relevantPeers = if (table.hasSameClause(shape)) peerPlaces else emptyList()
+        return costs.getOrPut(CostKey(shape, index, relevantPeers)) { table.cost(shape, context, relevantPeers) }
     }
 
-    fun forbids(shape: Int, scene: RuleTable.MachineContext, index: Int, mates: List<Int>): Boolean =
-        cost(shape, scene, index, mates) == Double.POSITIVE_INFINITY
+    /** Whether a requirement forbids a task of [shape] to start; the parameters are those of [cost]. */
+    fun forbids(shape: Int, context: RuleTable.MachineContext, index: Int, peerPlaces: List<Int>): Boolean =
+        cost(shape, context, index, peerPlaces) == Double.POSITIVE_INFINITY
 }
--- a/src/main/kotlin/org/honeyjunction/rules/RulesDocument.kt
+++ b/src/main/kotlin/org/honeyjunction/rules/RulesDocument.kt
@@ -11,24 +11,28 @@
 import org.honeyjunction.wire.MalformedException
 import org.honeyjunction.wire.given
 
-/** Rules with the topology that they were written for: what is applied, kept and handed out as one whole. */
+/** The source text of rules, with the topology that they refer to. Both are applied, stored and returned together. */
 class RulesDocument(val text: String, val topology: ObjectNode?) {
+    /** The document as JSON, the form in which it is stored. */
     val json: ByteArray = Json.write(write(Json.obj()))
 
-    /** Tells one document from another, and whether all of its parts are there as they were written. */
+    /** The SHA-256 hash of [json]; identifies the document and verifies that its stored parts are complete and unchanged. */
     val hash: ByteString = json.toByteString().sha256()
 
-    fun write(o: ObjectNode): ObjectNode = o.put("rules", text).apply { topology?.let { set<JsonNode>("topology", it) } }
+    /** Adds the document's fields to [target] and returns it. */
+    fun write(target: ObjectNode): ObjectNode = target.put("rules", text).apply { topology?.let { set<JsonNode>("topology", it) } }
 
+    /** The parsed topology; empty where the document has none. Throws a [MalformedException] where it is invalid. */
     fun topology(): Topology = topology?.let(TopologyReader::parse) ?: Topology.EMPTY
 
     /**
-     * What the document means, or what is wrong with it; [file] and [topologyFile] name its halves in messages. [alone]: the
-     * topology, if there is any, is not at hand, so that labels can only be warned of.
+     * Parses and checks the document. [file] and [topologyFile] name its two parts in messages. [inventory], where given, is used to
+     * warn of rules that match nothing in that cluster. [alone] means that the rules are checked without their topology, so that an
+     * unknown label causes only a warning.
      */
     fun check(
         version: Long,
-        known: Analysis.Inventory? = null,
+        inventory: Analysis.Inventory? = null,
         file: String = "rules",
         topologyFile: String = "topology",
         alone: Boolean = false,
@@ -42,20 +46,22 @@
         val read = RulesReader(topology.labels.takeUnless { alone }).read(text)
         if (read.errors.isNotEmpty()) return Checked(null, read.errors.map { it.at(file) }, emptyList())
         val warnings =
-            Analysis(read.rules, known).warnings().map { w ->
-                val place = read.positions[w.rule].let { if (w.clause < 0) it.rule else it.clauses[w.clause] }
-                place.copy(message = "warning: ${w.message}").at(file)
+            Analysis(read.rules, inventory).warnings().map { warning ->
+                val position = read.positions[warning.rule].let { if (warning.clause < 0) it.rule else it.clauses[warning.clause] }
+                position.copy(message = "warning: ${warning.message}").at(file)
             }
         val uncertainties = read.uncertainties.map { it.copy(message = "warning: ${it.message}").at(file) }
         return Checked(RuleSet(version, read.rules, topology), emptyList(), uncertainties + warnings)
     }
 
+    /** The result of [check]: the rule set, or null with at least one error. */
     class Checked(val set: RuleSet?, val errors: List<String>, val warnings: List<String>)
 
     companion object {
-        fun parse(o: JsonNode): RulesDocument {
-            val text = o.given("rules")?.takeIf { it.isTextual }?.textValue() ?: throw MalformedException("rules is missing or invalid")
-            val topology = o.given("topology")
+        /** Reads a document from the JSON form that [write] produces. */
+        fun parse(json: JsonNode): RulesDocument {
+            val text = json.given("rules")?.takeIf { it.isTextual }?.textValue() ?: throw MalformedException("rules is missing or invalid")
+            val topology = json.given("topology")
             if (topology != null && topology !is ObjectNode) throw MalformedException("topology is not an object")
             return RulesDocument(text, topology as? ObjectNode)
         }
--- a/src/main/kotlin/org/honeyjunction/rules/RulesReader.kt
+++ b/src/main/kotlin/org/honeyjunction/rules/RulesReader.kt
@@ -10,12 +10,16 @@
 import org.honeyjunction.rules.grammar.RulesLexer
 import org.honeyjunction.rules.grammar.RulesParser
 
-/** Something wrong with a text, and where: lines and columns count from 1. */
+/** A message about a position in a text; [line] and [column] count from 1. */
 data class Diagnostic(val line: Int, val column: Int, val message: String) {
+    /** The message in the form `file:line:column: message`. */
     fun at(file: String) = "$file:$line:$column: $message"
 }
 
-/** The rules of a text, or what is wrong with it; [places] tells where each rule and its clauses begin, [uncertainties] what can't be known. */
+/**
+ * The result of parsing a text: its rules, or its [errors]. [positions] has an entry for each rule. [uncertainties] are warnings
+ * about labels that could not be checked because no topology was given.
+ */
 class ParsedRules(
     val rules: List<Rule>,
     val errors: List<Diagnostic>,
@@ -23,25 +27,26 @@
     val uncertainties: List<Diagnostic> = emptyList(),
 )
 
-/** Where a rule and each of its clauses begin in the text. */
+/** The positions where a rule and each of its clauses begin in the text; the messages are empty. */
 class RulePosition(val rule: Diagnostic, val clauses: List<Diagnostic>)
 
-/** Reads the language of docs/rules.md. [labels] are those that the topology gives to machines; null: no topology is at hand. */
+/** Parses the rule language of docs/rules.md. [labels] are the labels that the topology assigns; null where no topology is given. */
 class RulesReader(private val labels: Collection<String>? = emptyList()) {
+    /** Parses and checks [text]; never throws for an invalid text, but returns errors. */
     fun read(text: String): ParsedRules {
         if (text.length > MAX_CHARS) return failed(Diagnostic(1, 1, "the text is longer than $MAX_CHARS characters"))
         val errors = ArrayList<Diagnostic>()
         val listener =
             object : BaseErrorListener() {
                 override fun syntaxError(
-                    r: Recognizer<*, *>?,
+                    recognizer: Recognizer<*, *>?,
                     symbol: Any?,
                     line: Int,
                     column: Int,
                     message: String,
-                    e: RecognitionException?,
+                    exception: RecognitionException?,
                 ) {
-                    if (errors.size < MAX_ERRORS) errors += Diagnostic(line, column + 1, clean(message, symbol as? Token))
+                    if (errors.size < MAX_ERRORS) errors += Diagnostic(line, column + 1, simplified(message, symbol as? Token))
                 }
             }
         val lexer =
@@ -50,8 +55,8 @@
                 addErrorListener(listener)
             }
         val tokens = CommonTokenStream(lexer).apply { fill() }
-        tooDeep(tokens.tokens)?.let { return failed(it) }
-        tooMany(tokens.tokens)?.let { return failed(it) }
+        nestingError(tokens.tokens)?.let { return failed(it) }
+        ruleCountError(tokens.tokens)?.let { return failed(it) }
         val parser =
             RulesParser(tokens).apply {
                 removeErrorListeners()
@@ -73,14 +78,17 @@
         )
     }
 
-    private fun failed(fault: Diagnostic) = ParsedRules(emptyList(), listOf(fault), emptyList())
+    private fun failed(error: Diagnostic) = ParsedRules(emptyList(), listOf(error), emptyList())
 
-    /** Parentheses and "not" nest calls of the parser; chains of "and" and "or" nest the tree. */
-    private fun tooDeep(tokens: List<Token>): Diagnostic? {
+    /**
+     * Limits the nesting before parsing, so that a text cannot overflow the stack: parentheses and "not" cause recursive calls of
+     * the parser, and chains of "and" and "or" produce a deep tree.
+     */
+    private fun nestingError(tokens: List<Token>): Diagnostic? {
         var depth = 0
         var chain = 0
-        for (t in tokens) {
-            when (t.text) {
+        for (token in tokens) {
+            when (token.text) {
                 "(" -> depth++
                 ")" -> depth--
                 "and", "or", "not" -> chain++
@@ -93,7 +101,7 @@
                 chain > MAX_CHAIN
             ) {
                 return diagnostic(
-                    t,
+                    token,
                     "nested too deeply: at most $MAX_DEPTH parentheses and $MAX_CHAIN of \"and\", \"or\" and \"not\" in one clause",
                 )
             }
@@ -101,20 +109,20 @@
         return null
     }
 
-    private fun tooMany(tokens: List<Token>): Diagnostic? =
+    private fun ruleCountError(tokens: List<Token>): Diagnostic? =
         tokens.filter { it.type == RulesLexer.RULE }.getOrNull(MAX_RULES)?.let { diagnostic(it, "more than $MAX_RULES rules") }
 
-    /** The parser's words for what it met, without lists that go on for lines. */
-    private fun clean(message: String, at: Token?): String {
+    /** The parser's message in plainer words, and without a list of expected tokens that is longer than [MAX_EXPECTED]. */
+    private fun simplified(message: String, token: Token?): String {
         if (message.startsWith("token recognition error")) {
-            val what = message.substringAfter("at: ").take(MAX_SHOWN)
-            return if (what.startsWith("'\"")) "a text that is not closed on its line" else "unexpected character $what"
+            val unexpected = message.substringAfter("at: ").take(MAX_SHOWN)
+            return if (unexpected.startsWith("'\"")) "a text that is not closed on its line" else "unexpected character $unexpected"
         }
         val found =
             when {
-                at == null -> return message.take(MAX_SHOWN)
-                at.type == Token.EOF -> "the end"
-                else -> "'${at.text.take(MAX_SHOWN)}'"
+                token == null -> return message.take(MAX_SHOWN)
+                token.type == Token.EOF -> "the end"
+                else -> "'${token.text.take(MAX_SHOWN)}'"
             }
         val expected = message.substringAfter("expecting ", "").takeIf { it.isNotEmpty() && it.length <= MAX_EXPECTED }
         return if (expected ==
@@ -127,15 +135,20 @@
     }
 
     companion object {
-        /** What one request to a controller can carry. */
+        /** The longest text, in characters; a longer one does not fit into one request to a controller. */
         const val MAX_CHARS = 60_000
+
+        /** The largest number of rules in one text. */
         const val MAX_RULES = 1_000
+
+        /** The largest number of errors that are reported for one text. */
         const val MAX_ERRORS = 20
         private const val MAX_DEPTH = 40
         private const val MAX_CHAIN = 120
         private const val MAX_SHOWN = 40
         private const val MAX_EXPECTED = 60
 
-        internal fun diagnostic(t: Token, message: String) = Diagnostic(t.line, t.charPositionInLine + 1, message)
+        /** A diagnostic at the position of [token]. */
+        internal fun diagnostic(token: Token, message: String) = Diagnostic(token.line, token.charPositionInLine + 1, message)
     }
 }
--- a/src/main/kotlin/org/honeyjunction/rules/TopologyReader.kt
+++ b/src/main/kotlin/org/honeyjunction/rules/TopologyReader.kt
@@ -9,34 +9,43 @@
 import org.honeyjunction.wire.listOrEmpty
 import org.honeyjunction.wire.textOrNull
 
-/** The operators' file of labels: JSON, checked against its schema, without cycles or contradictions. */
+/** Reads the operators' topology from JSON: checks it against its schema and rejects cyclic or contradictory labels. */
 object TopologyReader {
+    /** The resource that contains the JSON schema of a topology. */
     const val SCHEMA = "topology.schema.json"
 
+    /** The text of the JSON schema. */
     fun schemaText(): String = checkNotNull(javaClass.classLoader.getResource(SCHEMA)).readText()
 
     private val schema by lazy { JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(schemaText()) }
 
-    fun parse(o: JsonNode): Topology {
-        val errors = schema.validate(o)
+    /** Parses a topology; throws a [MalformedException] where it is invalid. */
+    fun parse(json: JsonNode): Topology {
+        val errors = schema.validate(json)
         if (errors.isNotEmpty()) throw MalformedException(errors.take(MAX_ERRORS).joinToString("; ") { it.message.removePrefix("$.") })
         val topology =
             try {
-                Topology(o.listOrEmpty("machines").map(::entry))
+                Topology(json.listOrEmpty("machines").map(::entry))
             } catch (e: IllegalArgumentException) {
                 throw MalformedException("machines: ${e.message}")
             }
-        topology.conflict()?.let { (a, b, label) ->
-            throw MalformedException("machines[$a] and machines[$b] overlap and give different values of '$label'")
+        topology.conflict()?.let { (first, second, label) ->
+            throw MalformedException("machines[$first] and machines[$second] overlap and give different values of '$label'")
         }
         return topology
     }
 
-    private fun entry(e: JsonNode) =
-        Topology.Entry(e.textOrNull("name"), e.textOrNull("type"), e.textOrNull("zone"), labels(e, "having"), labels(e, "labels"))
-
-    private fun labels(e: JsonNode, name: String): Map<String, String> =
-        e.given(name)?.properties().orEmpty().associate { (label, value) -> label to value.textValue() }
+    private fun entry(json: JsonNode) =
+        Topology.Entry(
+            json.textOrNull("name"),
+            json.textOrNull("type"),
+            json.textOrNull("zone"),
+            labels(json, "having"),
+            labels(json, "labels"),
+        )
+
+    private fun labels(json: JsonNode, field: String): Map<String, String> =
+        json.given(field)?.properties().orEmpty().associate { (label, value) -> label to value.textValue() }
 
     private const val MAX_ERRORS = 5
 }
--- a/src/test/kotlin/org/honeyjunction/ArchitectureTest.kt
+++ b/src/test/kotlin/org/honeyjunction/ArchitectureTest.kt
@@ -8,9 +8,9 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 
-/** Who may import whom; docs/design.md has the same table. */
+/** Checks which packages may depend on which; docs/design.md has the same table. */
 class ArchitectureTest {
-    private fun JavaClass.uses() =
+    private fun JavaClass.usedPackages() =
         directDependenciesFromSelf
             .map { it.targetClass.baseComponentType.packageName }
             .filter {
@@ -43,32 +43,35 @@
         "app,           'app core wire io rules nomad fake simulation timeline', java kotlin kotlinx.coroutines okio " +
             "com.fasterxml.jackson com.networknt org.slf4j picocli",
     )
-    fun `imports`(part: String, own: String, others: String) {
-        val of = classes.filter { it.packageName.startsWith("$ROOT.$part") }
-        assertTrue(of.isNotEmpty(), "no classes in $part")
+    fun `a package depends only on the packages that the table allows`(part: String, own: String, others: String) {
+        val partClasses = classes.filter { it.packageName.startsWith("$ROOT.$part") }
+        assertTrue(partClasses.isNotEmpty(), "no classes in $part")
         val ownParts = (own.split(' ').filter { it.isNotBlank() } + part).map { "$ROOT.$it" }
         val allowed = ownParts + others.split(' ') + "org.jetbrains.annotations"
-        val wrong = of.flatMap { c -> c.uses().filter { u -> allowed.none { u == it || u.startsWith("$it.") } }.map { "${c.name} -> $it" } }
-        assertEquals(emptyList<String>(), wrong.sorted())
+        val violations =
+            partClasses.flatMap { c ->
+                c.usedPackages().filter { u -> allowed.none { u == it || u.startsWith("$it.") } }.map { "${c.name} -> $it" }
+            }
+        assertEquals(emptyList<String>(), violations.sorted())
     }
 
     @ParameterizedTest
     @CsvSource("java.io", "java.nio", "java.net")
     fun `the core does no input or output`(forbidden: String) {
-        // Kotlin's own inlined helpers name the exceptions and Serializable only.
-        val harmless = setOf("java.io.Serializable")
-        val wrong =
+        // Code that the Kotlin compiler generates or inlines refers to Serializable.
+        val allowedTypes = setOf("java.io.Serializable")
+        val violations =
             classes
                 .filter { it.packageName.startsWith("$ROOT.core") }
-                .flatMap { c ->
-                    c.directDependenciesFromSelf
+                .flatMap { user ->
+                    user.directDependenciesFromSelf
                         .map { it.targetClass.name }
                         .filter {
                             it.startsWith("$forbidden.") &&
-                                it !in harmless
-                        }.map { "${c.name} -> $it" }
+                                it !in allowedTypes
+                        }.map { "${user.name} -> $it" }
                 }
-        assertEquals(emptyList<String>(), wrong)
+        assertEquals(emptyList<String>(), violations)
     }
 
     private companion object {
--- a/src/test/kotlin/org/honeyjunction/rules/RulesPropertiesTest.kt
+++ b/src/test/kotlin/org/honeyjunction/rules/RulesPropertiesTest.kt
@@ -19,11 +19,11 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** What holds for any rules: what is printed reads as the same, and no text whatever throws. */
+/** Properties of the parser and the printer for generated rules and texts. */
 class RulesPropertiesTest {
     private val names = Arbitraries.of("a", "roast-match-serve", "quote \" and \\ slash", "ñandú", "#", "")
 
-    private fun who(depth: Int): Arbitrary<TaskSelector> {
+    private fun selectors(depth: Int): Arbitrary<TaskSelector> {
         val leaf: Arbitrary<TaskSelector> =
             Arbitraries.oneOf(
                 listOf(
@@ -34,34 +34,34 @@
                 ),
             )
         if (depth == 0) return leaf
-        val inner = who(depth - 1)
+        val inner = selectors(depth - 1)
         return Arbitraries.oneOf(
             listOf(
                 leaf,
                 inner.map { TaskSelector.Not(it) },
                 Combinators.combine(inner, inner).`as` {
-                    a,
-                    b,
+                    left,
+                    right,
                     ->
-                    TaskSelector.And(a, b)
+                    TaskSelector.And(left, right)
                 },
                 Combinators.combine(inner, inner).`as` { a, b -> TaskSelector.Or(a, b) },
             ),
         )
     }
 
-    private fun test(depth: Int): Arbitrary<Test> {
-        val texts = Arbitraries.of<Attribute>(Attribute.Zone, Attribute.Type, Attribute.Label("rack"))
+    private fun tests(depth: Int): Arbitrary<Test> {
+        val textAttributes = Arbitraries.of<Attribute>(Attribute.Zone, Attribute.Type, Attribute.Label("rack"))
         val numbers = Arbitraries.doubles().between(0.0, 1000.0).ofScale(2).map { Value.Number(it) }
         val leaf: Arbitrary<Test> =
             Arbitraries.oneOf(
                 listOf(
-                    Combinators.combine(texts, Arbitraries.of(ComparisonOperator.EQ, ComparisonOperator.NE), names).`as` {
-                        a,
-                        o,
-                        n,
+                    Combinators.combine(textAttributes, Arbitraries.of(ComparisonOperator.EQ, ComparisonOperator.NE), names).`as` {
+                        attribute,
+                        comparison,
+                        name,
                         ->
-                        Test.Compare(a, o, Value.Text(n))
+                        Test.Compare(attribute, comparison, Value.Text(name))
                     },
                     Combinators
                         .combine(
@@ -69,35 +69,35 @@
                             Arbitraries.of(ComparisonOperator.entries),
                             numbers,
                         ).`as` {
-                            a,
-                            o,
-                            n,
+                            attribute,
+                            comparison,
+                            number,
                             ->
-                            Test.Compare(a, o, n)
+                            Test.Compare(attribute, comparison, number)
                         },
                     Arbitraries.of(true, false).map { Test.Compare(Attribute.Spot, ComparisonOperator.EQ, Value.Flag(it)) },
-                    Combinators.combine(texts, names.list().ofMinSize(1).ofMaxSize(3)).`as` {
-                        a,
-                        all,
+                    Combinators.combine(textAttributes, names.list().ofMinSize(1).ofMaxSize(3)).`as` {
+                        attribute,
+                        values,
                         ->
-                        Test.OneOf(a, all.map { Value.Text(it) })
+                        Test.OneOf(attribute, values.map { Value.Text(it) })
                     },
-                    texts.map { Test.Same(it) },
+                    textAttributes.map { Test.Same(it) },
                     names.map { Test.Caches(it) },
-                    who(1).map { Test.Runs(it) },
+                    selectors(1).map { Test.Runs(it) },
                 ),
             )
         if (depth == 0) return leaf
-        val inner = test(depth - 1)
+        val inner = tests(depth - 1)
         return Arbitraries.oneOf(
             listOf(
                 leaf,
                 inner.map { Test.Not(it) },
                 Combinators.combine(inner, inner).`as` {
-                    a,
-                    b,
+                    left,
+                    right,
                     ->
-                    Test.And(a, b)
+                    Test.And(left, right)
                 },
                 Combinators.combine(inner, inner).`as` { a, b -> Test.Or(a, b) },
             ),
@@ -107,16 +107,16 @@
     @Provide
     fun rules(): Arbitrary<List<Rule>> {
         val weight = Arbitraries.doubles().between(0.01, 1000.0).ofScale(2)
-        val clause = Combinators.combine(test(2), weight.injectNull(0.5)).`as` { t, w -> Clause(t, w) }
+        val clause = Combinators.combine(tests(2), weight.injectNull(0.5)).`as` { t, w -> Clause(t, w) }
         return Combinators
-            .combine(Arbitraries.strings().alpha().ofMinLength(1).ofMaxLength(20), who(2), clause.list().ofMaxSize(4))
+            .combine(Arbitraries.strings().alpha().ofMinLength(1).ofMaxLength(20), selectors(2), clause.list().ofMaxSize(4))
             .`as` { n, w, c -> Rule(n, w, c) }
             .list()
             .ofMaxSize(5)
     }
 
     @Property(tries = 400, seed = "7")
-    fun `printed rules read as themselves`(
+    fun `parsing printed rules gives equal rules`(
         @ForAll("rules") rules: List<Rule>,
     ) {
         val read = RulesReader(listOf("rack")).read(Printer.text(rules))
@@ -170,14 +170,17 @@
     }
 
     @Property(tries = 2_000, seed = "11")
-    fun `no text throws, and what is refused is told with a place in it`(
+    fun `no text makes the parser throw, and each error has a position inside the text and a message of one line`(
         @ForAll("texts") text: String,
     ) {
         val read = RulesReader(listOf("rack")).read(text)
         val lines = text.split('\n')
-        read.errors.forEach { f ->
-            assertTrue(f.line in 1..lines.size && f.column in 1..lines[f.line - 1].length + 1, "$f in ${Printer.text(read.rules)}")
-            assertTrue('\n' !in f.message, f.message)
+        read.errors.forEach { error ->
+            assertTrue(
+                error.line in 1..lines.size && error.column in 1..lines[error.line - 1].length + 1,
+                "$error in ${Printer.text(read.rules)}",
+            )
+            assertTrue('\n' !in error.message, error.message)
         }
     }
 }
