--- a/src/main/kotlin/org/honeyjunction/app/RulesCommand.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RulesCommand.kt
@@ -55,7 +55,7 @@
         reporting {
             val known: Analysis.Inventory? = settings?.let { s -> Files.json(s, "") { LocalSettings(it, null, 1).known() } }
             val topologyName = topology?.toString() ?: "topology"
-            val checked = document(file, topology).check(0, known, file.toString(), topologyName, alone = topology == null)
+            val checked = document(file, topology).check(0, known, file.toString(), topologyName, rulesOnly = topology == null)
             (checked.errors + checked.warnings).forEach(System.err::println)
             val set = checked.set ?: return Status.FAILED
             val clauses = set.rules.flatMap { it.clauses }
--- a/src/main/kotlin/org/honeyjunction/rules/RulesDocument.kt
+++ b/src/main/kotlin/org/honeyjunction/rules/RulesDocument.kt
@@ -27,7 +27,7 @@
 
     /**
      * Parses and checks the document. [file] and [topologyFile] name its two parts in messages. [inventory], where given, is used to
-     * warn of rules that match nothing in that cluster. [alone] means that the rules are checked without their topology, so that an
+     * warn of rules that match nothing in that cluster. [rulesOnly] means that the rules are checked without their topology, so that an
      * unknown label causes only a warning.
      */
     fun check(
@@ -35,27 +35,27 @@
         inventory: Analysis.Inventory? = null,
         file: String = "rules",
         topologyFile: String = "topology",
-        alone: Boolean = false,
-    ): Checked {
+        rulesOnly: Boolean = false,
+    ): CheckResult {
         val topology =
             try {
                 topology()
             } catch (e: MalformedException) {
-                return Checked(null, listOf("$topologyFile: ${e.message}"), emptyList())
+                return CheckResult(null, listOf("$topologyFile: ${e.message}"), emptyList())
             }
-        val read = RulesReader(topology.labels.takeUnless { alone }).read(text)
-        if (read.errors.isNotEmpty()) return Checked(null, read.errors.map { it.at(file) }, emptyList())
+        val read = RulesReader(topology.labels.takeUnless { rulesOnly }).read(text)
+        if (read.errors.isNotEmpty()) return CheckResult(null, read.errors.map { it.at(file) }, emptyList())
         val warnings =
             Analysis(read.rules, inventory).warnings().map { warning ->
                 val position = read.positions[warning.rule].let { if (warning.clause < 0) it.rule else it.clauses[warning.clause] }
                 position.copy(message = "warning: ${warning.message}").at(file)
             }
         val uncertainties = read.uncertainties.map { it.copy(message = "warning: ${it.message}").at(file) }
-        return Checked(RuleSet(version, read.rules, topology), emptyList(), uncertainties + warnings)
+        return CheckResult(RuleSet(version, read.rules, topology), emptyList(), uncertainties + warnings)
     }
 
     /** The result of [check]: the rule set, or null with at least one error. */
-    class Checked(val set: RuleSet?, val errors: List<String>, val warnings: List<String>)
+    class CheckResult(val set: RuleSet?, val errors: List<String>, val warnings: List<String>)
 
     companion object {
         /** Reads a document from the JSON form that [write] produces. */
