--- a/src/main/kotlin/org/honeyjunction/core/capacity/Bin.kt
+++ b/src/main/kotlin/org/honeyjunction/core/capacity/Bin.kt
@@ -23,7 +23,7 @@
     /** It does not report: work that can wait counts on its recovery, production does not. */
     private val unresponsive: Boolean = false,
 ) {
-    private val leaving = leaving.sortedBy { it.inS }.toMutableList()
+    private val leaving = leaving.sortedBy { it.availableInS }.toMutableList()
 
     /** Whether the plan uses it. */
     var needed = false
@@ -48,7 +48,7 @@
 
     /** [need] is freed [atS] seconds from now. */
     fun leaves(need: Resources, atS: Double) {
-        val later = leaving.indexOfFirst { it.inS > atS }
+        val later = leaving.indexOfFirst { it.availableInS > atS }
         val position = if (later < 0) leaving.size else later
         leaving.add(position, UpcomingCapacity(atS, need))
     }
@@ -57,9 +57,9 @@
     fun freeFor(need: Resources, withinS: Double): Double? {
         var available = free
         for (upcoming in leaving) {
-            if (upcoming.inS > withinS) return null
-            available += upcoming.need
-            if (need.fitsIn(available)) return upcoming.inS
+            if (upcoming.availableInS > withinS) return null
+            available += upcoming.resources
+            if (need.fitsIn(available)) return upcoming.availableInS
         }
         return null
     }
--- a/src/main/kotlin/org/honeyjunction/core/capacity/CapacityPlanner.kt
+++ b/src/main/kotlin/org/honeyjunction/core/capacity/CapacityPlanner.kt
@@ -37,7 +37,7 @@
          * would be rented for it.
          */
         fun take(bin: Bin, wanted: Wanted, runS: Double?, fromS: Double = 0.0) {
-            val gang = wanted.sample.gangOf > 0
+            val gang = wanted.sample.gangSize > 0
             bin.take(wanted.sample, runS.takeUnless { gang }, fromS)
             if (gang && runS != null) freedAfterGang += bin to fromS + runS
         }
@@ -58,7 +58,7 @@
         val draft = Draft(bins, machinesByZone)
         val unmet = ArrayList<TaskRow>()
         // Within a priority, gangs go first, since they need machines as a whole: other tasks would fragment them.
-        val order = compareByDescending<Wanted> { it.sample.priority }.thenByDescending { it.sample.gangOf > 0 }
+        val order = compareByDescending<Wanted> { it.sample.priority }.thenByDescending { it.sample.gangSize > 0 }
         for (wanted in waiting.sortedWith(order)) {
             val zone = if (wanted.sample.oneZone) bestZone(wanted, draft) else null
             val notFree = useFree(wanted, zone, draft)
@@ -119,7 +119,7 @@
 
     private fun noteUse(bin: Bin, sample: TaskRow, draft: Draft, reserve: Boolean) {
         val unusedMachine = bin.empty && !bin.needed && bin.machine >= 0
-        if (unusedMachine && sample.gangOf > 0) draft.held[bin.machine] = sample.job
+        if (unusedMachine && sample.gangSize > 0) draft.held[bin.machine] = sample.job
         if (!reserve && sample.priority == Priority.LOW) draft.usedByLowest += bin.machine
         if (reserve && bin.machine >= 0 && bin.machine !in draft.usedByLowest) draft.reserved += bin.machine
     }
@@ -172,7 +172,7 @@
      */
     private fun cheapestFirst(sample: TaskRow, draft: Draft): Comparator<Offer> =
         compareBy<Offer> { types.getValue(it.type).price(it.spot) / capacityOf(it, sample) }
-            .thenByDescending { if (sample.zoneRoom == null) growingRequest(it, draft) else 0 }
+            .thenByDescending { if (sample.remainingPerZone == null) growingRequest(it, draft) else 0 }
             .thenBy { draft.machinesByZone.getOrDefault(it.zone, 0) }
 
     /** The instances of [offer] in this plan, or 0 if they make a large request already. */
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/MachineCapacity.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/MachineCapacity.kt
@@ -26,9 +26,9 @@
             floor = machine.floorAt(now),
             fetchingGb = fetchingGb(machine, now),
             fetchGbPerS = state.cluster.types[machine.type]?.fetchGbPerS ?: 0.0,
-            soon = upcoming,
-            heldFor = heldFor?.index ?: NameTable.ABSENT,
-            heldPriority = heldFor?.spec?.priority ?: Priority.LOW,
+            upcoming = upcoming,
+            reservedFor = heldFor?.index ?: NameTable.ABSENT,
+            reservedPriority = heldFor?.spec?.priority ?: Priority.LOW,
             place = machine.place,
             running = state.running(machine),
         )
@@ -80,7 +80,7 @@
     /** Of machines with a running task: what gets free no later than the largest image would take to fetch. */
     private fun soonEnough(machine: Machine, now: Long): List<UpcomingCapacity> {
         if (machine.placements.values.none { it.phase == Phase.RUNNING }) return emptyList()
-        return upcoming(machine, now).filter { it.inS <= MAX_AWAIT_S }
+        return upcoming(machine, now).filter { it.availableInS <= MAX_AWAIT_S }
     }
 
     /** What [machine] has still to fetch, estimated from how long it has been fetching: its images share its rate. */
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/PendingQueue.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/PendingQueue.kt
@@ -37,7 +37,7 @@
             .filter { it.spec.kind != JobKind.GANG || it.waiting.cardinality() == it.unfinished }
             .map {
                 val gangOf = if (it.spec.kind == JobKind.GANG) it.unfinished else 0
-                Wanted(rows.template(it).copy(gangOf = gangOf), it.waiting.cardinality())
+                Wanted(rows.template(it).copy(gangSize = gangOf), it.waiting.cardinality())
             }
     }
 
@@ -48,7 +48,7 @@
         val usable = capacity.usableFor(demands, now)
         val fitting = FirstFitEstimate(usable, state.book.table)
         val selected = rows.select(demands, fitting, now, limit)
-        return Summary(fitting.bounded(usable, selected, MAX_ROOMS), teams(), capacity.slots(), selected, state.book.table)
+        return Summary(fitting.selectCapacities(usable, selected, MAX_ROOMS), teams(), capacity.slots(), selected, state.book.table)
     }
 
     /** Each team's weight, which follows from its guarantee, and its running tasks. */
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/TaskRows.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/TaskRows.kt
@@ -27,7 +27,7 @@
             types = usableTypes(job),
             spot = job.spec.spot,
             oneZone = false,
-            gangOf = 0,
+            gangSize = 0,
             guaranteed = true,
             shape = job.shape,
         )
@@ -41,9 +41,9 @@
             waitingMs = now - task.waitingSince,
             zones = state.openZones(job, null) and offeredZones(job),
             oneZone = (job.spec.oneZone || state.book.mustShareZone(job.shape)) && severalTasks,
-            gangOf = if (job.spec.kind == JobKind.GANG) job.waiting.cardinality() else 0,
+            gangSize = if (job.spec.kind == JobKind.GANG) job.waiting.cardinality() else 0,
             guaranteed = job.guaranteed,
-            zoneRoom = if (job.spec.spread && severalTasks) state.openPerZone(job) else null,
+            remainingPerZone = if (job.spec.spread && severalTasks) state.openPerZone(job) else null,
             late = job.missesDeadline(now),
             mates = state.siblingPlaces(job, null),
         )
@@ -68,15 +68,15 @@
         val rows = ArrayList<TaskRow>()
         val selected = IntArray(demands.size)
         demands.forEachIndexed { i, demand ->
-            val gangOf = demand.sample.gangOf
+            val gangOf = demand.sample.gangSize
             val left = limit - rows.size
             if (left <= 0 || gangOf > left && rows.size > limit / 2) return@forEachIndexed
-            selected[i] = fitting.take(demand.sample, if (gangOf > 0) demand.count else minOf(demand.count, left))
+            selected[i] = fitting.reserve(demand.sample, if (gangOf > 0) demand.count else minOf(demand.count, left))
             append(rows, demand, 0, selected[i], now)
         }
         demands.forEachIndexed { i, demand ->
             val more = minOf(demand.count - selected[i], limit - rows.size)
-            if (demand.sample.gangOf == 0) append(rows, demand, selected[i], more, now)
+            if (demand.sample.gangSize == 0) append(rows, demand, selected[i], more, now)
         }
         return rows
     }
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/WorkConservationMonitor.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/WorkConservationMonitor.kt
@@ -78,17 +78,17 @@
         // As if nothing were held or kept for a priority: what fits only then is reported, though it is meant to wait.
         val asIfOpen = FirstFitEstimate(free.map { it.unreserved() }, state.book.table, skipFetching = true)
         for (demand in demands) {
-            val fits = asHeld.take(demand.sample, demand.count)
+            val fits = asHeld.reserve(demand.sample, demand.count)
             val job = state.jobAt(demand.sample.job) ?: continue
             if (fits > 0) {
                 found[job.index] = Finding(fits, PendingReason.NONE)
                 continue
             }
-            val fitsIfOpen = asIfOpen.take(demand.sample, demand.count)
+            val fitsIfOpen = asIfOpen.reserve(demand.sample, demand.count)
             if (fitsIfOpen > 0) found[job.index] = Finding(fitsIfOpen, holdOrFloor(demand.sample, free))
         }
         for (demand in queue.beyondLimits(demands, now)) {
-            val fits = asIfOpen.take(demand.sample, demand.count)
+            val fits = asIfOpen.reserve(demand.sample, demand.count)
             if (fits > 0) found[demand.sample.job] = Finding(fits, PendingReason.LIMIT)
         }
         return found
@@ -108,7 +108,7 @@
     private fun holdOrFloor(sample: TaskRow, rooms: List<FreeCapacity>): PendingReason {
         val held =
             rooms.any {
-                val heldForOther = it.heldFor >= 0 && it.heldFor != sample.job && sample.priority <= it.heldPriority
+                val heldForOther = it.reservedFor >= 0 && it.reservedFor != sample.job && sample.priority <= it.reservedPriority
                 heldForOther && sample.allows(it.type, it.zone, it.spot, it.floor, it.free)
             }
         return if (held) PendingReason.HOLD else PendingReason.FLOOR
--- a/src/main/kotlin/org/honeyjunction/core/control/machines/FailureDetector.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/machines/FailureDetector.kt
@@ -109,9 +109,9 @@
         queue
             .demands(now)
             .filter { it.sample.priority == Priority.PRODUCTION }
-            .forEach { fitting.take(it.sample, it.count) }
+            .forEach { fitting.reserve(it.sample, it.count) }
         return critical
-            .filter { fitting.take(queue.rows.relocation(it.task, now), 1) > 0 }
+            .filter { fitting.reserve(queue.rows.relocation(it.task, now), 1) > 0 }
             .mapTo(LinkedHashSet()) { it.machine }
             .toList()
     }
--- a/src/main/kotlin/org/honeyjunction/core/control/preemption/PreemptionPlanner.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/preemption/PreemptionPlanner.kt
@@ -32,7 +32,7 @@
             if (rowsLeft <= 0 || futile.size >= MAX_FUTILE) break
             // Where a task with the same rights found neither free capacity nor victims, a larger one will not either.
             if (futile.any { demand.sample.noEasierToServeThan(it) }) continue
-            val count = if (demand.sample.gangOf > 0) demand.count else minOf(demand.count, rowsLeft)
+            val count = if (demand.sample.gangSize > 0) demand.count else minOf(demand.count, rowsLeft)
             if (makeRoom(demand.sample, count, sites, demand.sample.job in unmetJobs, now)) {
                 rowsLeft -= count
             } else {
@@ -50,7 +50,7 @@
 
     /** Which tasks may be preempted for a task depends on its team and its guarantee too. */
     private fun TaskRow.noEasierToServeThan(other: TaskRow) =
-        team == other.team && priority == other.priority && guaranteed == other.guaranteed && noEasierThan(other)
+        team == other.team && priority == other.priority && guaranteed == other.guaranteed && requiresAtLeast(other)
 
     /**
      * Makes room for all tasks of a gang, or for as many tasks as possible; for a job bound to one zone, in the zone where the most
@@ -64,7 +64,7 @@
                 listOf(StepPlanner(row, sites, unmet).plan(count))
             }
         val byWorth = compareBy<List<PreemptionStep>> { it.size }.thenByDescending { steps -> steps.sumOf { it.lostS } }
-        val best = plans.filter { it.size == count || row.gangOf == 0 }.maxWithOrNull(byWorth) ?: return false
+        val best = plans.filter { it.size == count || row.gangSize == 0 }.maxWithOrNull(byWorth) ?: return false
         best.forEach { carryOut(it, row, now) }
         return best.isNotEmpty()
     }
@@ -73,7 +73,7 @@
         step.site.preempt(step.victims)
         step.site.take(row.need)
         if (step.victims.isEmpty()) return
-        step.victims.forEach { it.of.task.evict() }
+        step.victims.forEach { it.task.task.evict() }
         step.site.machine.reserveForPriority(row.priority, now + RESERVATION_MS)
     }
 
@@ -123,12 +123,12 @@
             val others = Preemption.victims(row, free, preemptible - conflicting.toSet()) ?: return null
             val victims = conflicting + others
             if (victims.isEmpty()) return null
-            return PreemptionStep(site, victims, victims.sumOf { it.lostS } + fetchS(site.machine, row))
+            return PreemptionStep(site, victims, victims.sumOf { it.lostWorkS } + fetchS(site.machine, row))
         }
 
         /** While instances can still be rented, only work that keeps its progress is preempted. */
         private fun mayPreempt(victim: PreemptibleTask<Placement>): Boolean =
-            Preemption.mayStop(row, victim) && (unmet || keepsProgress(row, victim.of))
+            Preemption.mayPreempt(row, victim) && (unmet || keepsProgress(row, victim.task))
     }
 
     private fun keepsProgress(row: TaskRow, placement: Placement): Boolean {
--- a/src/main/kotlin/org/honeyjunction/core/control/preemption/PreemptionSite.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/preemption/PreemptionSite.kt
@@ -22,7 +22,7 @@
     fun conflicts(row: TaskRow): List<PreemptibleTask<Placement>>? {
         if (row.shape < 0) return emptyList()
         if (barred(row, NO_TASKS)) return null
-        return running.filter { barred(row, intArrayOf(it.of.task.job.shape)) }
+        return running.filter { barred(row, intArrayOf(it.task.task.job.shape)) }
     }
 
     private fun barred(row: TaskRow, besideShapes: IntArray): Boolean {
--- a/src/main/kotlin/org/honeyjunction/core/placement/CandidatePruning.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/CandidatePruning.kt
@@ -29,20 +29,20 @@
         /** Rows that may wait for a column that will be free soon. */
         var awaiting = 0
         val unclaimed get() = rows.size - claimed
-        val isGang get() = sample.gangOf > 0
+        val isGang get() = sample.gangSize > 0
 
         /** Gangs, and jobs bound to one zone or spread over zones, need all their slots in one pass. */
-        val needsSlotsAtOnce get() = isGang || sample.oneZone || sample.zoneRoom != null
+        val needsSlotsAtOnce get() = isGang || sample.oneZone || sample.remainingPerZone != null
 
-        fun admits(room: FreeCapacity, scene: RuleTable.Scene, sceneIndex: Int) =
-            sample.allows(room) && (sample.shape < 0 || !rules.bars(sample.shape, scene, sceneIndex, sample.mates))
+        fun admits(capacity: FreeCapacity, scene: RuleTable.Scene, sceneIndex: Int) =
+            sample.allows(capacity) && (sample.shape < 0 || !rules.bars(sample.shape, scene, sceneIndex, sample.mates))
 
         /** Whether one more task fits beside those that earlier slots of the machine took, and the rules allow it. */
         fun admits(slot: CandidateSlot): Boolean {
             if (slot.place == 0) return true
-            if (slot.place >= sample.need.countIn(slot.room.free)) return false
+            if (slot.place >= sample.need.countIn(slot.capacity.free)) return false
             if (!dependsOnNeighbours) return true
-            val scene = slot.room.scene.with(sample.shape, slot.place)
+            val scene = slot.capacity.scene.with(sample.shape, slot.place)
             return !rules.bars(sample.shape, scene, rules.scene(scene), sample.mates)
         }
     }
@@ -61,7 +61,7 @@
         claimColumns(jobs)
         val slots = if (fitsWhole) free else taken + unclaimedSlots(free)
         val tooLarge = jobs.filter { it.isGang && it.claimed == 0 && it.slots.size >= it.rows.size }.map { it.sample.job }
-        val columns = upcoming + slots.sortedBy { it.room.machine }
+        val columns = upcoming + slots.sortedBy { it.capacity.machine }
         return PrunedAssignment(keptRows(jobs, ordered, slots, 2 * columns.size), columns, tooLarge)
     }
 
@@ -70,7 +70,7 @@
         for (level in jobs.groupBy { it.sample.priority to it.sample.guaranteed }.values) {
             level.filter { it.isGang }.forEach(::claimForGang)
             val independent = level.filter { !it.isGang }
-            independent.forEach { job -> claim(job) { job.sample.image in it.room.images } }
+            independent.forEach { job -> claim(job) { job.sample.image in it.capacity.images } }
             independent.forEach { job -> claim(job) { true } }
         }
     }
@@ -95,7 +95,7 @@
     private fun claimForGang(gang: JobRows) {
         val free = gang.slots.filter { it !in taken }
         if (free.size < gang.rows.size || gang.rows.size > columnBudget) return
-        free.sortedBy { gang.sample.image !in it.room.images }.take(gang.rows.size).forEach { take(gang, it) }
+        free.sortedBy { gang.sample.image !in it.capacity.images }.take(gang.rows.size).forEach { take(gang, it) }
     }
 
     private inline fun claim(job: JobRows, wanted: (CandidateSlot) -> Boolean) {
@@ -117,12 +117,12 @@
     private fun freeSlots(jobs: List<JobRows>, rows: Int): List<CandidateSlot> {
         val images = jobs.mapTo(HashSet()) { it.sample.image }
         val found = ArrayList<Pair<CandidateSlot, List<JobRows>>>()
-        for (room in summary.rooms) {
-            val scene = if (rules.empty) RuleTable.Scene.NOWHERE else room.scene
+        for (capacity in summary.capacities) {
+            val scene = if (rules.empty) RuleTable.Scene.NOWHERE else capacity.scene
             val sceneIndex = if (rules.empty) 0 else rules.scene(scene)
-            val allowed = jobs.filter { it.admits(room, scene, sceneIndex) }
-            val near = room.images.any { it in images }
-            repeat(min(slotsInOnePass(allowed, room), rows)) { found += CandidateSlot(room, it, near = near) to allowed }
+            val allowed = jobs.filter { it.admits(capacity, scene, sceneIndex) }
+            val near = capacity.images.any { it in images }
+            repeat(min(slotsInOnePass(allowed, capacity), rows)) { found += CandidateSlot(capacity, it, near = near) to allowed }
         }
         found.sortWith(compareBy<Pair<CandidateSlot, List<JobRows>>> { it.first.near }.thenBy { it.first.place })
         for ((slot, allowed) in found) {
@@ -137,18 +137,19 @@
      * Where every image would have to be fetched, one slot a pass: the next pass knows which image is on its way, so that the
      * tasks of one image come to lie on one machine and one fetch serves them all.
      */
-    private fun slotsInOnePass(allowed: List<JobRows>, room: FreeCapacity): Int {
-        val fits = allowed.maxOfOrNull { it.sample.need.countIn(room.free) } ?: 0
-        val atOnce = allowed.any { it.sample.image in room.images || it.needsSlotsAtOnce }
+    private fun slotsInOnePass(allowed: List<JobRows>, capacity: FreeCapacity): Int {
+        val fits = allowed.maxOfOrNull { it.sample.need.countIn(capacity.free) } ?: 0
+        val atOnce = allowed.any { it.sample.image in capacity.images || it.needsSlotsAtOnce }
         return if (atOnce) fits else min(fits, 1)
     }
 
     /** Slots that will be free soon, no more of them than there are rows that would wait. */
     private fun upcomingSlots(jobs: List<JobRows>): List<CandidateSlot> =
-        summary.rooms
+        summary.capacities
             .asSequence()
-            .flatMap { room -> room.soon.asSequence().map { CandidateSlot(room.withFree(room.free + it.need), 0, it) } }
-            .sortedBy { it.soon!!.inS }
+            .flatMap { capacity ->
+                capacity.upcoming.asSequence().map { CandidateSlot(capacity.withFree(capacity.free + it.resources), 0, it) }
+            }.sortedBy { it.upcoming!!.availableInS }
             .filter { slot ->
                 val waiter = jobs.firstOrNull { it.awaiting < it.rows.size && it.sample.mayAwait(slot) }
                 waiter?.let { it.awaiting++ } != null
--- a/src/main/kotlin/org/honeyjunction/core/placement/ColocationPlanner.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/ColocationPlanner.kt
@@ -12,13 +12,13 @@
     private val table = rules.table
 
     /** A machine's free capacity with its scene for the rules, computed once for all places that are compared. */
-    private class Site(val room: FreeCapacity, val scene: RuleTable.Scene, val sceneIndex: Int)
+    private class Site(val capacity: FreeCapacity, val scene: RuleTable.Scene, val sceneIndex: Int)
 
     /** A machine with the number of the job's tasks that fit on it. */
     private class FittingSite(val site: Site, val fits: Int)
 
     private val sites by lazy(LazyThreadSafetyMode.NONE) {
-        summary.rooms.filter { it.place >= 0 }.map { room -> room.scene.let { Site(room, it, rules.scene(it)) } }
+        summary.capacities.filter { it.place >= 0 }.map { capacity -> capacity.scene.let { Site(capacity, it, rules.scene(it)) } }
     }
 
     /** What gathering at [place] would cost the tasks together; the choice with the fewest tasks [left] out is best. */
@@ -43,7 +43,7 @@
         }
     }
 
-    private fun TaskRow.mayWaitForBetterThan(choice: Choice) = gangOf > 0 && choice.penalty > 0 && waitingMs < settings.patienceMs
+    private fun TaskRow.mayWaitForBetterThan(choice: Choice) = gangSize > 0 && choice.penalty > 0 && waitingMs < settings.patienceMs
 
     /**
      * The place at which [count] tasks like [sample] lose least. They are alike, so filling the cheapest machines first is optimal for
@@ -54,14 +54,14 @@
         val labels = table.sameLabels(sample.shape)
         val possible =
             sites
-                .filter { sample.allows(it.room) }
-                .map { FittingSite(it, minOf(sample.need.countIn(it.room.free), count)) }
+                .filter { sample.allows(it.capacity) }
+                .map { FittingSite(it, minOf(sample.need.countIn(it.capacity.free), count)) }
         return possible
-            .groupBy { candidate -> labels.map { table.places[candidate.site.room.place][it] } }
+            .groupBy { candidate -> labels.map { table.places[candidate.site.capacity.place][it] } }
             .values
             .sortedByDescending { here -> here.sumOf { it.fits } }
             .take(MOST_PLACES)
-            .map { here -> costOfGathering(sample, count, possible, here.first().site.room.place) }
+            .map { here -> costOfGathering(sample, count, possible, here.first().site.capacity.place) }
             .minWithOrNull(compareBy<Choice> { it.left }.thenBy { it.penalty }.thenBy { it.fetchGb })
     }
 
@@ -72,7 +72,7 @@
         val cells = PriorityQueue(MOST_EXPENSIVE_FIRST)
         for (candidate in candidates) {
             val site = candidate.site
-            val fetchGb = if (sample.image in site.room.images) 0.0 else sample.imageGb
+            val fetchGb = if (sample.image in site.capacity.images) 0.0 else sample.imageGb
             for (position in 0 until candidate.fits) {
                 val scene = if (dependsOnNeighbours && position > 0) site.scene.with(sample.shape, position) else site.scene
                 val sceneIndex = if (scene === site.scene) site.sceneIndex else rules.scene(scene)
@@ -96,8 +96,13 @@
         private val MOST_EXPENSIVE_FIRST = compareByDescending<Cell> { it.cost }.thenByDescending { it.fetchGb }
 
         /** The rows still waiting after a pass, with the places of their job's tasks that the pass placed among their mates. */
-        fun withPlacedMates(waiting: List<TaskRow>, taken: List<Proposal>, rooms: List<FreeCapacity>, rules: RuleTable): List<TaskRow> {
-            val places = rooms.associate { it.machine to it.place }
+        fun withPlacedMates(
+            waiting: List<TaskRow>,
+            taken: List<Proposal>,
+            capacities: List<FreeCapacity>,
+            rules: RuleTable,
+        ): List<TaskRow> {
+            val places = capacities.associate { it.machine to it.place }
             val placed = taken.groupBy({ it.job }, { places.getValue(it.machine) })
             return waiting.map { row ->
                 val mates = placed[row.job]
--- a/src/main/kotlin/org/honeyjunction/core/placement/CostMatrix.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/CostMatrix.kt
@@ -6,17 +6,17 @@
 import kotlin.math.min
 
 /**
- * A column of the matrix: the [place]th free slot of a machine, or one that will be free [soon]. [near]: the machine caches an image
+ * A column of the matrix: the [place]th free slot of a machine, or one that will be free [upcoming]. [near]: the machine caches an image
  * that some row needs.
  */
-class CandidateSlot(val room: FreeCapacity, val place: Int, val soon: UpcomingCapacity? = null, val near: Boolean = false)
+class CandidateSlot(val capacity: FreeCapacity, val place: Int, val upcoming: UpcomingCapacity? = null, val near: Boolean = false)
 
 /**
  * Whether the row may wait for [slot]: its image is there, and it has not waited for longer than a fetch would take. Gangs
  * do not wait, since all of their tasks would have to.
  */
 fun TaskRow.mayAwait(slot: CandidateSlot) =
-    gangOf == 0 && image in slot.room.images && allows(slot.room) && waitingMs / 1000.0 * slot.room.fetchGbPerS < imageGb
+    gangSize == 0 && image in slot.capacity.images && allows(slot.capacity) && waitingMs / 1000.0 * slot.capacity.fetchGbPerS < imageGb
 
 /** The paper's cost of a cell, fairness plus data locality (formulas 4 to 9); docs/design.md lists what is added and why. */
 class CostMatrix(private val summary: Summary, private val settings: CostSettings, private val rules: RuleView = RuleView(summary.rules)) {
@@ -50,7 +50,7 @@
      * the others cost beta (1 - weight).
      */
     fun fairness(rows: List<TaskRow>, slots: List<CandidateSlot>): DoubleArray {
-        val cached = slots.flatMapTo(HashSet()) { it.room.images.asList() }
+        val cached = slots.flatMapTo(HashSet()) { it.capacity.images.asList() }
         val result = DoubleArray(rows.size)
         rows.indices.groupBy { rows[it].team }.forEach { (team, members) ->
             val (local, remote) = members.partition { rows[it].image in cached }
@@ -70,13 +70,24 @@
     /** The cost of [row] on [slot] without rules; [BARRED] where it may not run. */
     fun cost(row: TaskRow, slot: CandidateSlot, fairness: Double): Double {
         // A wait counts as the gigabytes that could be fetched meanwhile.
-        if (slot.soon != null) return if (row.mayAwait(slot)) fairness + settings.alpha * slot.soon.inS * slot.room.fetchGbPerS else BARRED
+        if (slot.upcoming !=
+            null
+        ) {
+            return if (row.mayAwait(
+                    slot,
+                )
+            ) {
+                fairness + settings.alpha * slot.upcoming.availableInS * slot.capacity.fetchGbPerS
+            } else {
+                BARRED
+            }
+        }
         // Slots are sized for the smallest task: of a larger one, fewer fit.
-        if (!row.allows(slot.room) || slot.place > 0 && slot.place >= row.need.countIn(slot.room.free)) return BARRED
-        val locality = if (row.image in slot.room.images) 0.0 else settings.alpha * (row.imageGb + slot.room.fetchingGb)
-        val kind = if (row.spot && !slot.room.spot) settings.spotPreference else 0.0
+        if (!row.allows(slot.capacity) || slot.place > 0 && slot.place >= row.need.countIn(slot.capacity.free)) return BARRED
+        val locality = if (row.image in slot.capacity.images) 0.0 else settings.alpha * (row.imageGb + slot.capacity.fetchingGb)
+        val kind = if (row.spot && !slot.capacity.spot) settings.spotPreference else 0.0
         // A tie is broken towards the fuller machine, which leaves whole machines free.
-        val packing = settings.packing * (slot.room.free.gpus - row.need.gpus)
+        val packing = settings.packing * (slot.capacity.free.gpus - row.need.gpus)
         return fairness + locality + kind + packing
     }
 
@@ -90,7 +101,7 @@
             val dependsOnNeighbours = rules.table.dependsOnNeighbours(row.shape)
             row.job to
                 DoubleArray(slots.size) { column ->
-                    val scene = slots[column].room.scene.with(row.shape, if (dependsOnNeighbours) slots[column].place else 0)
+                    val scene = slots[column].capacity.scene.with(row.shape, if (dependsOnNeighbours) slots[column].place else 0)
                     val cost = rules.cost(row.shape, scene, rules.scene(scene), row.mates)
                     if (cost == Double.POSITIVE_INFINITY) BARRED else settings.alpha * min(cost, MAX_RULES_GB)
                 }
--- a/src/main/kotlin/org/honeyjunction/core/placement/PlacementRound.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/PlacementRound.kt
@@ -43,7 +43,7 @@
         val rows = progress.rowsOf(job)
         if (rows.isEmpty()) return emptyList()
         val remaining = progress.remaining
-        val bound = ColocationPlanner(remaining, settings, progress.rules).choose(chooseZones(rows, remaining.rooms))
+        val bound = ColocationPlanner(remaining, settings, progress.rules).choose(chooseZones(rows, remaining.capacities))
         return if (bound.isEmpty()) emptyList() else assignGang(progress.withRows(bound), progress.rules)
     }
 
@@ -60,22 +60,22 @@
                 .map { it to cell(matrix, rows.first(), pruned.slots[it], 0.0, ruleCosts?.get(it)) }
                 .filter { (_, cost) -> isAllowed(cost) }
                 .sortedBy { (_, cost) -> cost }
-        return admit(rows.zip(cheapest) { row, (slot, _) -> row to pruned.slots[slot].room }, summary.rules)
+        return admit(rows.zip(cheapest) { row, (slot, _) -> row to pruned.slots[slot].capacity }, summary.rules)
     }
 
     private fun solve(summary: Summary, rules: RuleView): Pass {
         val matrix = CostMatrix(summary, settings, rules)
-        val ordered = chooseZones(matrix.order(summary.rows), summary.rooms)
+        val ordered = chooseZones(matrix.order(summary.rows), summary.capacities)
         val pruned = CandidatePruning(summary, settings, rules).prune(ColocationPlanner(summary, settings, rules).choose(ordered))
         if (pruned.slots.isEmpty()) return Pass(emptyList(), emptyMap(), pruned.tooLarge)
         // Among equal costs, tasks of one image come to lie on slots side by side: one fetch serves them all.
         val rows = pruned.rows.sortedWith(compareByDescending<TaskRow> { it.priority }.thenBy { it.image })
         val (awaiting, startNow) =
             assign(matrix, rows, pruned.slots)
-                .partition { (row, slot) -> slot.soon != null || row.fetchesAfter(slot.room) }
-        val taken = admit(startNow.map { (row, slot) -> row to slot.room }, summary.rules)
+                .partition { (row, slot) -> slot.upcoming != null || row.fetchesAfter(slot.capacity) }
+        val taken = admit(startNow.map { (row, slot) -> row to slot.capacity }, summary.rules)
         val started = taken.mapTo(HashSet()) { it.job }
-        val brokenUp = rows.filter { it.gangOf > 0 && it.job !in started }.mapTo(LinkedHashSet()) { it.job }
+        val brokenUp = rows.filter { it.gangSize > 0 && it.job !in started }.mapTo(LinkedHashSet()) { it.job }
         return Pass(taken, awaiting.toMap(), (brokenUp + pruned.tooLarge).distinct())
     }
 
@@ -108,16 +108,16 @@
     }
 
     /** Binds each job that must stay in one zone to the zone where most of its tasks find room; drops it where there is none. */
-    private fun chooseZones(rows: List<TaskRow>, rooms: List<FreeCapacity>): List<TaskRow> {
+    private fun chooseZones(rows: List<TaskRow>, capacities: List<FreeCapacity>): List<TaskRow> {
         val tasksOfJob = rows.filter { it.oneZone }.groupBy { it.job }
-        val zoneOf = tasksOfJob.mapValues { (_, tasks) -> roomiestZone(tasks.first(), tasks.size, rooms) }
+        val zoneOf = tasksOfJob.mapValues { (_, tasks) -> roomiestZone(tasks.first(), tasks.size, capacities) }
         return rows
             .filter { !it.oneZone || zoneOf[it.job] != null }
             .map { row -> zoneOf[row.job]?.let { row.copy(zones = 1L shl it) } ?: row }
     }
 
-    private fun roomiestZone(sample: TaskRow, tasks: Int, rooms: List<FreeCapacity>): Int? =
-        rooms
+    private fun roomiestZone(sample: TaskRow, tasks: Int, capacities: List<FreeCapacity>): Int? =
+        capacities
             .filter { sample.allows(it) }
             .groupBy { it.zone }
             .mapValues { (_, here) -> here.sumOf { sample.need.countIn(it.free).coerceAtMost(tasks) } }
@@ -128,11 +128,11 @@
     private fun admit(pairs: List<Pair<TaskRow, FreeCapacity>>, rules: RuleTable): List<Proposal> {
         val admission = Admission(rules)
         // Gangs first: of one that is broken up by a neighbour nothing would start.
-        val fitting = pairs.sortedByDescending { (row, _) -> row.gangOf > 0 }.filter { (row, room) -> admission.take(row, room) }
-        val gangs = fitting.filter { it.first.gangOf > 0 }.groupingBy { it.first.job }.eachCount()
+        val fitting = pairs.sortedByDescending { (row, _) -> row.gangSize > 0 }.filter { (row, capacity) -> admission.take(row, capacity) }
+        val gangs = fitting.filter { it.first.gangSize > 0 }.groupingBy { it.first.job }.eachCount()
         return fitting
-            .filter { (row, _) -> row.gangOf == 0 || gangs[row.job] == row.gangOf }
-            .map { (row, room) -> Proposal(row.job, row.task, room.machine) }
+            .filter { (row, _) -> row.gangSize == 0 || gangs[row.job] == row.gangSize }
+            .map { (row, capacity) -> Proposal(row.job, row.task, capacity.machine) }
     }
 
     /** What the pairs admitted so far leave of machines and of zones' parts. */
@@ -141,18 +141,18 @@
         private val freeOn = HashMap<Int, Resources>()
         private val usedInZone = HashMap<Pair<Int, Int>, Int>()
 
-        /** Takes [row] on [room] where resources, the zone's part and the rules allow it. */
-        fun take(row: TaskRow, room: FreeCapacity): Boolean {
-            val free = freeOn.getOrDefault(room.machine, room.free)
-            val inZone = usedInZone.getOrDefault(row.job to room.zone, 0)
-            val zoneRoom = row.zoneRoom
+        /** Takes [row] on [capacity] where resources, the zone's part and the rules allow it. */
+        fun take(row: TaskRow, capacity: FreeCapacity): Boolean {
+            val free = freeOn.getOrDefault(capacity.machine, capacity.free)
+            val inZone = usedInZone.getOrDefault(row.job to capacity.zone, 0)
+            val remainingPerZone = row.remainingPerZone
             // Tasks that were assigned slots of one machine at the same time may be kept apart by a rule.
-            val scene = if (rules.empty) RuleTable.Scene.NOWHERE else sceneOf[room.machine] ?: room.scene
-            val fits = row.need.fitsIn(free) && (zoneRoom == null || inZone < zoneRoom[room.zone])
+            val scene = if (rules.empty) RuleTable.Scene.NOWHERE else sceneOf[capacity.machine] ?: capacity.scene
+            val fits = row.need.fitsIn(free) && (remainingPerZone == null || inZone < remainingPerZone[capacity.zone])
             if (!fits || rules.barred(row.shape, scene, row.mates) != null) return false
-            if (!rules.empty) sceneOf[room.machine] = scene.with(row.shape)
-            freeOn[room.machine] = free - row.need
-            usedInZone[row.job to room.zone] = inZone + 1
+            if (!rules.empty) sceneOf[capacity.machine] = scene.with(row.shape)
+            freeOn[capacity.machine] = free - row.need
+            usedInZone[row.job to capacity.zone] = inZone + 1
             return true
         }
     }
--- a/src/main/kotlin/org/honeyjunction/core/placement/Summary.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/Summary.kt
@@ -16,10 +16,10 @@
     /** Gigabytes that the machine is fetching already, at [fetchGbPerS] shared by all its fetches. */
     val fetchingGb: Double = 0.0,
     val fetchGbPerS: Double = 0.0,
-    val soon: List<UpcomingCapacity> = emptyList(),
+    val upcoming: List<UpcomingCapacity> = emptyList(),
     /** The job that the machine is reserved for; higher priorities may use it all the same. Below 0: none. */
-    val heldFor: Int = -1,
-    val heldPriority: Priority = Priority.LOW,
+    val reservedFor: Int = -1,
+    val reservedPriority: Priority = Priority.LOW,
     /** The machine's index in the compiled rules, and the shapes of the tasks that are or may be on it; see core.rules. */
     val place: Int = -1,
     val running: IntArray = NOTHING,
@@ -30,27 +30,55 @@
         free: Resources,
         images: IntArray = this.images,
         fetchingGb: Double = this.fetchingGb,
-        soon: List<UpcomingCapacity> = this.soon,
+        upcoming: List<UpcomingCapacity> = this.upcoming,
         running: IntArray = this.running,
-    ) = FreeCapacity(machine, free, type, zone, spot, images, floor, fetchingGb, fetchGbPerS, soon, heldFor, heldPriority, place, running)
+    ) = FreeCapacity(
+        machine,
+        free,
+        type,
+        zone,
+        spot,
+        images,
+        floor,
+        fetchingGb,
+        fetchGbPerS,
+        upcoming,
+        reservedFor,
+        reservedPriority,
+        place,
+        running,
+    )
 
     /** The same capacity without reservation and priority floor. */
     fun unreserved() =
-        FreeCapacity(machine, free, type, zone, spot, images, Priority.LOW, fetchingGb, fetchGbPerS, soon, place = place, running = running)
+        FreeCapacity(
+            machine,
+            free,
+            type,
+            zone,
+            spot,
+            images,
+            Priority.LOW,
+            fetchingGb,
+            fetchGbPerS,
+            upcoming,
+            place = place,
+            running = running,
+        )
 
     private companion object {
         val NOTHING = IntArray(0)
     }
 }
 
-/** Resources [need] that a running task will probably free in [inS] seconds, sooner than an image could be fetched. */
-class UpcomingCapacity(val inS: Double, val need: Resources)
+/** Resources [need] that a running task will probably free in [availableInS] seconds, sooner than an image could be fetched. */
+class UpcomingCapacity(val availableInS: Double, val resources: Resources)
 
 /** A team's fairness [weight] and its number of [running] tasks. */
 class TeamShare(val weight: Double, val running: Int)
 
 /**
- * A waiting task: a row of the matrix; [gangOf] tasks start together or not at all (0: alone). [zones] and [types] are bit
+ * A waiting task: a row of the matrix; [gangSize] tasks start together or not at all (0: alone). [zones] and [types] are bit
  * masks of what is allowed at this moment.
  */
 data class TaskRow(
@@ -66,19 +94,19 @@
     val types: Long,
     val spot: Boolean,
     val oneZone: Boolean,
-    val gangOf: Int,
+    val gangSize: Int,
     val guaranteed: Boolean,
     /** How many more of the job's tasks each zone may take; null where nothing bounds them. */
-    val zoneRoom: List<Int>? = null,
+    val remainingPerZone: List<Int>? = null,
     /** Its deadline can't be met any more: rows of the same priority and guarantee that still can meet theirs go first. */
     val late: Boolean = false,
     /** The task's index in the compiled rules (below 0: none), and the places of its job's other tasks where a rule needs them. */
     val shape: Int = -1,
     val mates: List<Int> = emptyList(),
 ) {
-    fun allows(room: FreeCapacity, free: Resources = room.free): Boolean =
-        (room.heldFor < 0 || room.heldFor == job || priority > room.heldPriority) &&
-            allows(room.type, room.zone, room.spot, room.floor, free)
+    fun allows(capacity: FreeCapacity, free: Resources = capacity.free): Boolean =
+        (capacity.reservedFor < 0 || capacity.reservedFor == job || priority > capacity.reservedPriority) &&
+            allows(capacity.type, capacity.zone, capacity.spot, capacity.floor, free)
 
     /**
      * Images fetched at the same time share a machine's rate: a second fetch would be ready no sooner than if it began after
@@ -86,17 +114,19 @@
      * together are ready sooner on average: with r left of the first and y of its own, 3y + r against 2r + y. It has waited
      * enough when the first fetch should have ended.
      */
-    fun fetchesAfter(room: FreeCapacity): Boolean {
-        if (gangOf > 0 || room.fetchingGb <= 0 || image in room.images) return false
-        return priority < Priority.PRODUCTION || 2 * imageGb > room.fetchingGb && waitingMs / 1000.0 * room.fetchGbPerS < room.fetchingGb
+    fun fetchesAfter(capacity: FreeCapacity): Boolean {
+        if (gangSize > 0 || capacity.fetchingGb <= 0 || image in capacity.images) return false
+        return priority < Priority.PRODUCTION ||
+            2 * imageGb > capacity.fetchingGb &&
+            waitingMs / 1000.0 * capacity.fetchGbPerS < capacity.fetchingGb
     }
 
     /** Whether [other] could start wherever this row could, since it asks for no more. */
-    fun noEasierThan(other: TaskRow): Boolean =
+    fun requiresAtLeast(other: TaskRow): Boolean =
         other.shape == shape &&
             other.mates == mates &&
             priority <= other.priority &&
-            gangOf >= other.gangOf &&
+            gangSize >= other.gangSize &&
             (other.spot || !spot) &&
             (other.oneZone == oneZone) &&
             zones and other.zones.inv() == 0L &&
@@ -113,7 +143,7 @@
 
 /** The leader's summary for one controller: free room and images, team shares, and that controller's waiting tasks. */
 class Summary(
-    val rooms: List<FreeCapacity>,
+    val capacities: List<FreeCapacity>,
     val teams: List<TeamShare>,
     val slots: Int,
     val rows: List<TaskRow>,
--- a/src/main/kotlin/org/honeyjunction/wire/SummaryCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/SummaryCodec.kt
@@ -20,14 +20,14 @@
  */
 internal object SummaryCodec {
     fun write(buffer: Buffer, summary: Summary) {
-        buffer.writeList(summary.rooms) { writeCapacity(it) }
+        buffer.writeList(summary.capacities) { writeCapacity(it) }
         buffer.writeList(summary.teams) { writeTeam(it) }
         buffer.writeInt(summary.slots)
         buffer.writeList(summary.rows) { writeRow(it) }
         buffer.writeBoolean(!summary.rules.empty)
         if (summary.rules.empty) return
         RulesCodec.write(buffer, summary.rules)
-        summary.rooms.forEach { buffer.writeRuleFields(it) }
+        summary.capacities.forEach { buffer.writeRuleFields(it) }
         summary.rows.forEach { buffer.writeRuleFields(it) }
     }
 
@@ -55,9 +55,9 @@
         writePriority(room.floor)
         writeDouble(room.fetchingGb)
         writeDouble(room.fetchGbPerS)
-        writeList(room.soon) { writeUpcoming(it) }
-        writeInt(room.heldFor)
-        writePriority(room.heldPriority)
+        writeList(room.upcoming) { writeUpcoming(it) }
+        writeInt(room.reservedFor)
+        writePriority(room.reservedPriority)
     }
 
     private fun Buffer.readCapacity() =
@@ -71,17 +71,17 @@
             floor = readPriority(),
             fetchingGb = readDouble(),
             fetchGbPerS = readDouble(),
-            soon = readList { readUpcoming() },
-            heldFor = readInt(),
-            heldPriority = readPriority(),
+            upcoming = readList { readUpcoming() },
+            reservedFor = readInt(),
+            reservedPriority = readPriority(),
         )
 
     private fun Buffer.writeUpcoming(upcoming: UpcomingCapacity) {
-        writeDouble(upcoming.inS)
-        writeResources(upcoming.need)
+        writeDouble(upcoming.availableInS)
+        writeResources(upcoming.resources)
     }
 
-    private fun Buffer.readUpcoming() = UpcomingCapacity(inS = readDouble(), need = readResources())
+    private fun Buffer.readUpcoming() = UpcomingCapacity(availableInS = readDouble(), resources = readResources())
 
     private fun Buffer.writeTeam(team: TeamShare) {
         writeDouble(team.weight)
@@ -103,9 +103,9 @@
         writeLong(row.types)
         writeBoolean(row.spot)
         writeBoolean(row.oneZone)
-        writeInt(row.gangOf)
+        writeInt(row.gangSize)
         writeBoolean(row.guaranteed)
-        writeOptionalInts(row.zoneRoom)
+        writeOptionalInts(row.remainingPerZone)
         writeBoolean(row.late)
     }
 
@@ -123,9 +123,9 @@
             types = readLong(),
             spot = readBoolean(),
             oneZone = readBoolean(),
-            gangOf = readInt(),
+            gangSize = readInt(),
             guaranteed = readBoolean(),
-            zoneRoom = readOptionalInts(),
+            remainingPerZone = readOptionalInts(),
             late = readBoolean(),
         )
 
@@ -145,9 +145,9 @@
             room.floor,
             room.fetchingGb,
             room.fetchGbPerS,
-            room.soon,
-            room.heldFor,
-            room.heldPriority,
+            room.upcoming,
+            room.reservedFor,
+            room.reservedPriority,
             place = readPlace(rules),
             running = readList { readShape(rules) }.toIntArray(),
         )
--- a/src/test/kotlin/org/honeyjunction/core/capacity/CapacityPlannerTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/capacity/CapacityPlannerTest.kt
@@ -21,7 +21,7 @@
 
     @Test
     fun `an empty machine is kept for a gang, though an array came first`() {
-        val gang = row(0, false).copy(job = 2, need = size, gangOf = 1)
+        val gang = row(0, false).copy(job = 2, need = size, gangSize = 1)
         val waiting = listOf(Wanted(row(0, false), 4), Wanted(gang, 1))
         val plan = CapacityPlanner(types) { false }.plan(waiting, emptyList(), listOf(Bin(7, ordinary, size, true)), emptyMap())
         assertEquals(mapOf(7 to 2), plan.held)
@@ -32,7 +32,7 @@
     @ParameterizedTest(name = "a gang of {0} that runs {1} s, one task on each of {2} machines: {3} rented")
     @CsvSource("2, 2, 1, 1", "2, 200, 1, 1", "2, 2, 2, 0", "4, 5, 2, 2")
     fun `the tasks of a gang run at the same time`(tasks: Int, runS: Double, machines: Int, rented: Int) {
-        val gang = row(0, false).copy(need = Resources(3.0, 3.0, 3.0), gangOf = tasks)
+        val gang = row(0, false).copy(need = Resources(3.0, 3.0, 3.0), gangSize = tasks)
         val bins = List(machines) { Bin(it, ordinary, size, false) }
         val array = row(0, false).copy(job = 2, need = Resources(3.0, 3.0, 3.0))
         val arrayTasks = if (runS < 100) machines else 0
--- a/src/test/kotlin/org/honeyjunction/core/placement/PlacementProgressTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/placement/PlacementProgressTest.kt
@@ -51,33 +51,33 @@
             )
         }
 
-    private fun summary(rooms: List<FreeCapacity>, rows: List<TaskRow>) =
-        Summary(rooms, listOf(TeamShare(1.0, 3), TeamShare(2.0, 0)), rooms.size, rows)
+    private fun summary(capacities: List<FreeCapacity>, rows: List<TaskRow>) =
+        Summary(capacities, listOf(TeamShare(1.0, 3), TeamShare(2.0, 0)), capacities.size, rows)
 
     /** What the leader would do with [proposals]; fails on any that does not fit. */
     private fun applied(
-        rooms: List<FreeCapacity>,
+        capacities: List<FreeCapacity>,
         rows: List<TaskRow>,
         proposals: List<Proposal>,
     ): Pair<List<FreeCapacity>, List<TaskRow>> {
         val byTask = rows.associateBy { it.job to it.task }
-        val free = rooms.associateTo(HashMap()) { it.machine to it.free }
+        val free = capacities.associateTo(HashMap()) { it.machine to it.free }
         for (p in proposals) {
             val row = byTask.getValue(p.job to p.task)
-            val room = rooms.first { it.machine == p.machine }
-            assertTrue(row.allows(room, free.getValue(p.machine)), "$p does not fit")
+            val capacity = capacities.first { it.machine == p.machine }
+            assertTrue(row.allows(capacity, free.getValue(p.machine)), "$p does not fit")
             free[p.machine] = free.getValue(p.machine) - row.need
         }
         val placed = proposals.groupBy { it.job }
         placed.forEach { (job, there) ->
             val sample = byTask.getValue(job to there.first().task)
-            if (sample.gangOf > 0) assertEquals(sample.gangOf, there.size, "gang $job in part")
+            if (sample.gangSize > 0) assertEquals(sample.gangSize, there.size, "gang $job in part")
             if (sample.oneZone) {
                 assertEquals(
                     1,
                     there
                         .map { p ->
-                            rooms.first { it.machine == p.machine }.zone
+                            capacities.first { it.machine == p.machine }.zone
                         }.distinct()
                         .size,
                     "zones of $job",
@@ -86,17 +86,17 @@
         }
         assertEquals(proposals.size, proposals.distinctBy { it.job to it.task }.size, "a task twice")
         val started = proposals.mapTo(HashSet()) { it.job to it.task }
-        return rooms.map { it.withFree(free.getValue(it.machine)) } to rows.filter { (it.job to it.task) !in started }
+        return capacities.map { it.withFree(free.getValue(it.machine)) } to rows.filter { (it.job to it.task) !in started }
     }
 
     /** Whether some job, seen by itself, could start: a task of it, or all of a gang. By counting, without the cut's means. */
-    private fun possible(rooms: List<FreeCapacity>, rows: List<TaskRow>): List<Int> =
+    private fun possible(capacities: List<FreeCapacity>, rows: List<TaskRow>): List<Int> =
         rows
             .groupBy { it.job }
             .filterValues { tasks ->
                 val row = tasks.first()
-                val zones = rooms.filter { row.allows(it) }.groupBy { if (row.oneZone) it.zone else 0 }
-                zones.values.any { there -> there.sumOf { (it.free.gpus / row.need.gpus + 1e-9).toInt() } >= maxOf(1, row.gangOf) }
+                val zones = capacities.filter { row.allows(it) }.groupBy { if (row.oneZone) it.zone else 0 }
+                zones.values.any { there -> there.sumOf { (it.free.gpus / row.need.gpus + 1e-9).toInt() } >= maxOf(1, row.gangSize) }
             }.keys
             .toList()
 
@@ -126,7 +126,7 @@
                         tasks % 2 == 0,
                     )
                 }
-        val rooms =
+        val capacities =
             Combinators
                 .combine(
                     Arbitraries.integers().between(0, 4),
@@ -149,13 +149,13 @@
                             } else {
                                 intArrayOf(image)
                             },
-                            heldFor = held,
-                            heldPriority = Priority.HIGH,
+                            reservedFor = held,
+                            reservedPriority = Priority.HIGH,
                         )
                     }
                 }
-        return Combinators.combine(rooms.list().ofMinSize(1).ofMaxSize(14), jobs.list().ofMinSize(1).ofMaxSize(8)).`as` { r, j ->
-            r.mapIndexed { m, room -> room(m) } to j.flatMapIndexed { i, job -> rows(i, job) }
+        return Combinators.combine(capacities.list().ofMinSize(1).ofMaxSize(14), jobs.list().ofMinSize(1).ofMaxSize(8)).`as` { r, j ->
+            r.mapIndexed { m, capacity -> capacity(m) } to j.flatMapIndexed { i, job -> rows(i, job) }
         }
     }
 
@@ -164,15 +164,15 @@
         @ForAll("clusters") cluster: Pair<List<FreeCapacity>, List<TaskRow>>,
     ) {
         val round = PlacementRound(CostSettings(maxColumns = 6))
-        var (rooms, rows) = cluster
+        var (capacities, rows) = cluster
         repeat(rows.size + 1) {
-            val proposals = round.place(summary(rooms, rows))
+            val proposals = round.place(summary(capacities, rows))
             if (proposals.isEmpty()) {
-                assertEquals(emptyList<Int>(), possible(rooms, rows), "could start, and is not placed")
+                assertEquals(emptyList<Int>(), possible(capacities, rows), "could start, and is not placed")
                 return
             }
-            val (left, waiting) = applied(rooms, rows, proposals)
-            rooms = left
+            val (left, waiting) = applied(capacities, rows, proposals)
+            capacities = left
             rows = waiting
         }
     }
@@ -181,31 +181,31 @@
     fun `what is said to fit does, whole gangs, and nothing is left that would fit beside it`(
         @ForAll("clusters") cluster: Pair<List<FreeCapacity>, List<TaskRow>>,
     ) {
-        val (rooms, rows) = cluster
+        val (capacities, rows) = cluster
         val jobs = rows.groupBy { it.job }.values
-        val fitting = FirstFitEstimate(rooms, RuleTable.NONE)
-        val first = jobs.map { tasks -> fitting.take(tasks.first(), tasks.size) }
-        jobs.zip(first).forEach { (tasks, n) -> if (tasks.first().gangOf > 0) assertTrue(n == 0 || n == tasks.size) }
+        val fitting = FirstFitEstimate(capacities, RuleTable.NONE)
+        val first = jobs.map { tasks -> fitting.reserve(tasks.first(), tasks.size) }
+        jobs.zip(first).forEach { (tasks, n) -> if (tasks.first().gangSize > 0) assertTrue(n == 0 || n == tasks.size) }
         // Not one more of what was refused in part fits now; gangs may, where a zone was chosen for them.
         jobs.zip(first).forEach { (tasks, n) ->
-            if (tasks.first().gangOf == 0 &&
+            if (tasks.first().gangSize == 0 &&
                 !tasks.first().oneZone &&
                 n < tasks.size
             ) {
-                assertEquals(0, fitting.take(tasks.first(), 1))
+                assertEquals(0, fitting.reserve(tasks.first(), 1))
             }
         }
-        if (first.all { it == 0 }) assertEquals(emptyList<Int>(), possible(rooms, rows))
+        if (first.all { it == 0 }) assertEquals(emptyList<Int>(), possible(capacities, rows))
     }
 
     @Test
     fun `of very many rooms those are kept that what waits fits into`() {
-        val rooms =
+        val capacities =
             List(5_000) { FreeCapacity(it, gpus(4), 0, 0, true, intArrayOf(3)) } + FreeCapacity(5_000, gpus(1), 0, 0, false, intArrayOf())
         val row = rows(0, JobOf(1, false, 1, Priority.PRODUCTION, false, -1, false, 3, true))
-        val fitting = FirstFitEstimate(rooms, RuleTable.NONE)
-        assertEquals(1, fitting.take(row[0], 1))
-        assertEquals(listOf(5_000), PlacementRound().place(summary(fitting.bounded(rooms, row, 100), row)).map { it.machine })
+        val fitting = FirstFitEstimate(capacities, RuleTable.NONE)
+        assertEquals(1, fitting.reserve(row[0], 1))
+        assertEquals(listOf(5_000), PlacementRound().place(summary(fitting.selectCapacities(capacities, row, 100), row)).map { it.machine })
     }
 
     @ParameterizedTest(name = "{0}")
@@ -227,14 +227,14 @@
         arrays: Int,
         expected: Int,
     ) {
-        val rooms =
+        val capacities =
             List(machines) { FreeCapacity(it, gpus(4), 0, 0, spot, intArrayOf(7)) } +
                 List(ordinary) { FreeCapacity(machines + it, gpus(1), 0, 0, false, intArrayOf()) }
         val priority = if (gang) Priority.NORMAL else Priority.PRODUCTION
         val first = rows(0, JobOf(tasks, gang, need, priority, false, -1, false, 0, true))
         val second = (1..arrays).flatMap { rows(it, JobOf(1, false, 1, Priority.NORMAL, true, -1, false, 7, true)) }
-        val proposals = PlacementRound(CostSettings(maxColumns = 16)).place(summary(rooms, first + second))
-        applied(rooms, first + second, proposals)
+        val proposals = PlacementRound(CostSettings(maxColumns = 16)).place(summary(capacities, first + second))
+        applied(capacities, first + second, proposals)
         assertEquals(expected, proposals.size, case)
     }
 }
--- a/src/test/kotlin/org/honeyjunction/core/placement/PlacementRoundBenchmark.kt
+++ b/src/test/kotlin/org/honeyjunction/core/placement/PlacementRoundBenchmark.kt
@@ -113,7 +113,7 @@
                     null,
                 )
             }
-        val rooms =
+        val capacities =
             (0 until machines).map { m ->
                 val name = "vm-%02d%04d".format(m % 40, m)
                 val running = if (book.empty) IntArray(0) else intArrayOf(book.shape(specs[m % 20])).filter { it >= 0 }.toIntArray()
@@ -164,7 +164,7 @@
                         )
                     }
                 }.take(256)
-        val summary = Summary(rooms, listOf(TeamShare(1.0, machines)), machines * 4, rows, book.table)
+        val summary = Summary(capacities, listOf(TeamShare(1.0, machines)), machines * 4, rows, book.table)
         return summary to PeerCodec.encode(PeerMessage.SummaryResponse(1, true, QuotaPlan.NONE, 1.0, summary)).size
     }
 
--- a/src/test/kotlin/org/honeyjunction/core/placement/PlacementRoundTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/placement/PlacementRoundTest.kt
@@ -20,10 +20,10 @@
     zones: Long = -1,
     spot: Boolean = false,
     oneZone: Boolean = false,
-    gangOf: Int = 0,
+    gangSize: Int = 0,
     guaranteed: Boolean = true,
     waitingMs: Long = 0,
-    zoneRoom: List<Int>? = null,
+    remainingPerZone: List<Int>? = null,
     types: Long = -1,
 ) = TaskRow(
     job,
@@ -38,16 +38,16 @@
     types,
     spot,
     oneZone,
-    gangOf,
+    gangSize,
     guaranteed,
-    zoneRoom,
+    remainingPerZone,
 )
 
-private fun room(machine: Int, gpus: Int = 1, zone: Int = 0, spot: Boolean = false, vararg images: Int) =
+private fun capacity(machine: Int, gpus: Int = 1, zone: Int = 0, spot: Boolean = false, vararg images: Int) =
     FreeCapacity(machine, gpus(gpus), 0, zone, spot, images)
 
-private fun summary(rooms: List<FreeCapacity>, vararg rows: TaskRow, running: Int = 0) =
-    Summary(rooms, listOf(TeamShare(1.0, running), TeamShare(3.0, 0)), rooms.size, rows.asList())
+private fun summary(capacities: List<FreeCapacity>, vararg rows: TaskRow, running: Int = 0) =
+    Summary(capacities, listOf(TeamShare(1.0, running), TeamShare(3.0, 0)), capacities.size, rows.asList())
 
 class PlacementRoundTest {
     private val round = PlacementRound()
@@ -59,20 +59,20 @@
         // T1's data is on both nodes, T2's on the first alone; the greedy scheduler gives the first node to T1.
         val t1 = row(1, image = 1)
         val t2 = row(2, image = 2)
-        val both = summary(listOf(room(10, 1, 0, false, 1, 2), room(11, 1, 0, false, 1)), t1, t2)
+        val both = summary(listOf(capacity(10, 1, 0, false, 1, 2), capacity(11, 1, 0, false, 1)), t1, t2)
         assertEquals(mapOf((1 to 0) to 11, (2 to 0) to 10), placed(both))
     }
 
     @Test
     fun `two teams of weights 1 and 3 share the slots by their rations`() {
         val rows = (0 until 8).map { row(1, it, team = 0) } + (0 until 8).map { row(2, it, team = 1) }
-        val rooms = (0 until 8).map { room(it) }
-        assertEquals(mapOf(1 to 2, 2 to 6), round.place(summary(rooms, *rows.toTypedArray())).groupingBy { it.job }.eachCount())
+        val capacities = (0 until 8).map { capacity(it) }
+        assertEquals(mapOf(1 to 2, 2 to 6), round.place(summary(capacities, *rows.toTypedArray())).groupingBy { it.job }.eachCount())
     }
 
     @Test
     fun `formulas 6 and 9`() {
-        val s = Summary(List(8) { room(it) }, listOf(TeamShare(1.0, 3), TeamShare(3.0, 1)), 8, emptyList())
+        val s = Summary(List(8) { capacity(it) }, listOf(TeamShare(1.0, 3), TeamShare(3.0, 1)), 8, emptyList())
         val matrix = CostMatrix(s, CostSettings())
         assertEquals(300.0, matrix.groupCost(0), 1e-9)
         assertEquals(100.0 / 3, matrix.groupCost(1), 1e-9)
@@ -94,26 +94,26 @@
         "a task larger than any room waits,       large,1,0",
     )
     fun `what may start`(name: String, kind: String, tasks: Int, expected: Int) {
-        val rooms =
+        val capacities =
             when (kind) {
-                "spot" -> listOf(room(0, spot = true))
-                "zone" -> listOf(room(0, zone = 0), room(1, zone = 1))
-                "spread" -> listOf(room(0, 4, zone = 0))
-                else -> listOf(room(0), room(1))
+                "spot" -> listOf(capacity(0, spot = true))
+                "zone" -> listOf(capacity(0, zone = 0), capacity(1, zone = 1))
+                "spread" -> listOf(capacity(0, 4, zone = 0))
+                else -> listOf(capacity(0), capacity(1))
             }
         val rows =
             (0 until tasks).map {
                 when (kind) {
-                    "gang" -> row(1, it, gangOf = tasks)
+                    "gang" -> row(1, it, gangSize = tasks)
                     "zone" -> row(1, it, oneZone = true)
-                    "spread" -> row(1, it, zoneRoom = listOf(2, 2))
+                    "spread" -> row(1, it, remainingPerZone = listOf(2, 2))
                     "barred" -> row(1, it, zones = 2)
                     "type" -> row(1, it, types = 2)
                     "large" -> row(1, it, gpus = 2)
                     else -> row(1, it)
                 }
             }
-        assertEquals(expected, round.place(summary(rooms, *rows.toTypedArray())).size, name)
+        assertEquals(expected, round.place(summary(capacities, *rows.toTypedArray())).size, name)
     }
 
     @ParameterizedTest(name = "{0}")
@@ -123,7 +123,7 @@
         "nor after having waited for as long as a fetch,                         20, 51000, 0, true",
         "nor by a gang,                                                          20, 0, 1, true",
     )
-    fun `a row whose image is on a busy machine`(name: String, freeInS: Double, waitingMs: Long, gangOf: Int, starts: Boolean) {
+    fun `a row whose image is on a busy machine`(name: String, freeInS: Double, waitingMs: Long, gangSize: Int, starts: Boolean) {
         val busy =
             FreeCapacity(
                 0,
@@ -133,10 +133,10 @@
                 false,
                 intArrayOf(1),
                 fetchGbPerS = 0.1,
-                soon = listOf(UpcomingCapacity(freeInS, gpus(1))),
+                upcoming = listOf(UpcomingCapacity(freeInS, gpus(1))),
             )
         val free = FreeCapacity(1, gpus(1), 0, 0, false, intArrayOf(), fetchGbPerS = 0.1)
-        val placed = placed(summary(listOf(busy, free), row(1, image = 1, gangOf = gangOf, waitingMs = waitingMs)))
+        val placed = placed(summary(listOf(busy, free), row(1, image = 1, gangSize = gangSize, waitingMs = waitingMs)))
         assertEquals(if (starts) mapOf((1 to 0) to 1) else emptyMap(), placed, name)
     }
 
@@ -164,7 +164,7 @@
     @Test
     fun `tasks of one image come to lie on one machine, since one fetch serves them all`() {
         val rows = (0 until 8).map { row(it % 2 + 1, it, image = it % 2) }
-        val byMachine = round.place(summary(listOf(room(0, 4), room(1, 4)), *rows.toTypedArray())).groupBy { it.machine }
+        val byMachine = round.place(summary(listOf(capacity(0, 4), capacity(1, 4)), *rows.toTypedArray())).groupBy { it.machine }
         assertEquals(listOf(1, 1), byMachine.values.map { there -> there.distinctBy { it.job }.size })
     }
 
@@ -175,32 +175,41 @@
         "a higher priority may, 6, HIGH, 1",
     )
     fun `a machine that is kept for a gang`(name: String, job: Int, priority: Priority, starts: Int) {
-        val kept = FreeCapacity(0, gpus(4), 0, 0, false, intArrayOf(), heldFor = 5, heldPriority = Priority.NORMAL)
+        val kept = FreeCapacity(0, gpus(4), 0, 0, false, intArrayOf(), reservedFor = 5, reservedPriority = Priority.NORMAL)
         assertEquals(starts, placed(summary(listOf(kept), row(job, gpus = 4, priority = priority))).size, name)
     }
 
     @Test
     fun `one busy slot is awaited by one row, the others start elsewhere`() {
         val busy =
-            FreeCapacity(0, Resources.NONE, 0, 0, false, intArrayOf(1), fetchGbPerS = 0.1, soon = listOf(UpcomingCapacity(9.0, gpus(1))))
+            FreeCapacity(
+                0,
+                Resources.NONE,
+                0,
+                0,
+                false,
+                intArrayOf(1),
+                fetchGbPerS = 0.1,
+                upcoming = listOf(UpcomingCapacity(9.0, gpus(1))),
+            )
         val free = List(4) { FreeCapacity(it + 1, gpus(1), 0, 0, false, intArrayOf(), fetchGbPerS = 0.1) }
         assertEquals(3, placed(summary(free + busy, *Array(4) { row(1, it, image = 1) })).size)
     }
 
     @Test
     fun `higher priority goes first, and what is left takes the rest of the room`() {
-        val rooms = listOf(room(0, 4))
+        val capacities = listOf(capacity(0, 4))
         val low = (0 until 4).map { row(1, it, image = 2, priority = Priority.LOW) }
         val high = row(2, gpus = 3, priority = Priority.PRODUCTION)
-        val jobs = round.place(summary(rooms, high, *low.toTypedArray())).map { it.job }.sorted()
+        val jobs = round.place(summary(capacities, high, *low.toTypedArray())).map { it.job }.sorted()
         assertEquals(listOf(1, 2), jobs)
     }
 
     @Test
     fun `a task that waited long goes before a newer one whose image is cached`() {
-        val rooms = listOf(room(0, 1, 0, false, 2))
+        val capacities = listOf(capacity(0, 1, 0, false, 2))
         val old = row(1, waitingMs = 600_000)
-        assertEquals(listOf(1), round.place(summary(rooms, row(2, image = 2), old)).map { it.job })
+        assertEquals(listOf(1), round.place(summary(capacities, row(2, image = 2), old)).map { it.job })
     }
 
     @ParameterizedTest(name = "{0}")
@@ -228,8 +237,8 @@
     @Test
     fun `no more is stopped than is needed, and what loses least first`() {
         val running = listOf(90.0, 3.0, 5.0).map { PreemptibleTask(it, 0, 0, Priority.LOW, true, gpus(1), it) }
-        assertEquals(listOf(3.0), Preemption.victims(row(1), Resources.NONE, running)?.map { it.of })
-        assertEquals(listOf(3.0, 5.0), Preemption.victims(row(1, gpus = 3), gpus(1), running)?.map { it.of })
+        assertEquals(listOf(3.0), Preemption.victims(row(1), Resources.NONE, running)?.map { it.task })
+        assertEquals(listOf(3.0, 5.0), Preemption.victims(row(1, gpus = 3), gpus(1), running)?.map { it.task })
         assertNull(Preemption.victims(row(1, gpus = 4), Resources.NONE, running))
     }
 }
--- a/src/test/kotlin/org/honeyjunction/core/placement/RulesPlacementTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/placement/RulesPlacementTest.kt
@@ -132,7 +132,7 @@
                 1.0,
             )
 
-        fun room(machine: Int, running: List<JobSpec> = emptyList(), cached: Boolean = false): FreeCapacity {
+        fun capacity(machine: Int, running: List<JobSpec> = emptyList(), cached: Boolean = false): FreeCapacity {
             val box = box(machine)
             val zone = cluster.zones.find(box.zone)
             return FreeCapacity(
@@ -148,8 +148,8 @@
         }
 
         /** As another controller sees it: through the wire. */
-        fun place(rooms: List<FreeCapacity>, rows: List<TaskRow>, patienceMs: Long = 0): List<Proposal> {
-            val summary = Summary(rooms, listOf(TeamShare(1.0, 0)), rooms.size, rows, book.table)
+        fun place(capacities: List<FreeCapacity>, rows: List<TaskRow>, patienceMs: Long = 0): List<Proposal> {
+            val summary = Summary(capacities, listOf(TeamShare(1.0, 0)), capacities.size, rows, book.table)
             val told =
                 PeerCodec.decode(
                     okio.Buffer().write(PeerCodec.encode(PeerMessage.SummaryResponse(1, true, QuotaPlan.NONE, 1.0, summary))),
@@ -202,8 +202,8 @@
     ) {
         val s = Setting("rule \"r\" $rule", racks, slots = slots)
         val beside = runs?.let { listOf(s.spec(9, it)) }.orEmpty()
-        val rooms = racks.indices.map { s.room(it, if (it == 0) beside else emptyList()) }
-        val placed = s.place(rooms, s.rows(s.spec(1, jobClass, tasks = tasks), 1)).map { "m${it.machine}" }.distinct().sorted()
+        val capacities = racks.indices.map { s.capacity(it, if (it == 0) beside else emptyList()) }
+        val placed = s.place(capacities, s.rows(s.spec(1, jobClass, tasks = tasks), 1)).map { "m${it.machine}" }.distinct().sorted()
         assertEquals(expected.orEmpty(), placed.joinToString(" "), case)
     }
 
@@ -222,7 +222,7 @@
     )
     fun `a gang prefers one rack`(racks: String, tasks: Int, patienceMs: Long, together: Int) {
         val s = Setting("rule \"r\" for kind gang { prefer same rack weight 20 }", racks)
-        val placed = s.place(racks.indices.map { s.room(it) }, s.rows(s.spec(1, "g", JobKind.GANG, tasks), 1), patienceMs)
+        val placed = s.place(racks.indices.map { s.capacity(it) }, s.rows(s.spec(1, "g", JobKind.GANG, tasks), 1), patienceMs)
         assertEquals(if (together == 0) 0 else tasks, placed.size, "whole or not at all")
         assertEquals(together, placed.groupingBy { racks[it.machine] }.eachCount().values.maxOrNull() ?: 0)
     }
@@ -230,7 +230,7 @@
     @org.junit.jupiter.api.Test
     fun `a gang whose tasks may not share a machine starts whole although slots lie side by side`() {
         val s = Setting("rule \"r\" for kind gang { must not machine runs kind gang }", "aaaa", slots = 8)
-        val placed = s.place(List(4) { s.room(it) }, s.rows(s.spec(1, "g", JobKind.GANG, 4), 1))
+        val placed = s.place(List(4) { s.capacity(it) }, s.rows(s.spec(1, "g", JobKind.GANG, 4), 1))
         assertEquals(4, placed.map { it.machine }.distinct().size)
     }
 
@@ -239,7 +239,7 @@
         val s = Setting("rule \"r\" for class \"q\" { must not machine runs class \"b\" }", "aa", slots = 4)
         val q = s.rows(s.spec(1, "q", tasks = 3), 1)
         val b = s.rows(s.spec(2, "b", tasks = 3), 2)
-        val placed = s.place(listOf(s.room(0), s.room(1)), q + b)
+        val placed = s.place(listOf(s.capacity(0), s.capacity(1)), q + b)
         assertTrue(placed.size >= 3, "$placed")
         placed.groupBy { it.machine }.values.forEach { here -> assertEquals(1, here.map { it.job }.distinct().size, "$here") }
     }
@@ -291,7 +291,7 @@
     @org.junit.jupiter.api.Test
     fun `jobs that no free machine may take do not hold back those behind them`() {
         val s = Setting("rule \"r\" for class \"q\" { must machine.rack = \"z\" }", "a")
-        val placed = s.place(listOf(s.room(0)), s.rows(s.spec(1, "q", tasks = 9), 1) + s.rows(s.spec(2, "t"), 2))
+        val placed = s.place(listOf(s.capacity(0)), s.rows(s.spec(1, "q", tasks = 9), 1) + s.rows(s.spec(2, "t"), 2))
         assertEquals(listOf(2), placed.map { it.job })
     }
 
@@ -361,8 +361,8 @@
                     }
                 }
             }
-        val rooms = case.racks.indices.map { s.room(it, beside[it], case.cached[it]) }
-        val placed = s.place(rooms, tasks.flatMapIndexed { i, spec -> s.rows(spec, i + 1) })
+        val capacities = case.racks.indices.map { s.capacity(it, beside[it], case.cached[it]) }
+        val placed = s.place(capacities, tasks.flatMapIndexed { i, spec -> s.rows(spec, i + 1) })
         val bars = placed.filter { cost[it.job - 1][it.machine] == null }
         assertTrue(bars.isEmpty(), "barred: $bars in ${case.rules}")
         // Rows are cut to twice the slots that some row may use; where that cuts any, the round need not see the best.
--- a/src/test/kotlin/org/honeyjunction/wire/CodecTest.kt
+++ b/src/test/kotlin/org/honeyjunction/wire/CodecTest.kt
@@ -111,9 +111,9 @@
     @Test
     fun `a summary is decoded as it was encoded`() {
         val decoded = PeerCodec.decode(Buffer().write(frame())) as PeerMessage.SummaryResponse
-        assertEquals(listOf(1, 0), decoded.summary.rows.single().zoneRoom)
+        assertEquals(listOf(1, 0), decoded.summary.rows.single().remainingPerZone)
         assertEquals(Priority.HIGH, decoded.summary.rows.single().priority)
-        assertArrayEquals(intArrayOf(4, 9), decoded.summary.rooms.single().images)
+        assertArrayEquals(intArrayOf(4, 9), decoded.summary.capacities.single().images)
         assertArrayEquals(frame(), PeerCodec.encode(decoded))
     }
 
