--- a/src/main/kotlin/org/honeyjunction/core/admission/AdmissionController.kt
+++ b/src/main/kotlin/org/honeyjunction/core/admission/AdmissionController.kt
@@ -1,33 +1,36 @@
 package org.honeyjunction.core.admission
 
 /**
- * Admission control for new jobs at one node. While the queue of writes is short every job is admitted, and takes a token if
- * there is one; while it is long only jobs with a token of the leader's quota plan; while it is longer than users wait, only
- * urgent jobs with a token. A rejection is answered at once, with the time to retry. Without a valid plan the node shares out
- * what it may write itself, by the same weights. Times are steady milliseconds.
+ * Admission control for new jobs at one node. While the write queue is short, every job is admitted and takes a token if one is
+ * available. While the queue is long, only jobs with a token of the leader's quota plan are admitted. While the queue delay exceeds
+ * the time that users wait, only urgent jobs with a token are admitted. A rejection is sent immediately and tells the user when to
+ * retry. A node without a valid plan divides its own write capacity by the same weights. Times are steady milliseconds.
  *
- * [weights]: those of the teams, as of [QuotaAllocator.weights].
+ * [weights] are the teams' weights as computed by [QuotaAllocator.weights].
  */
 class AdmissionController(private val weights: Map<String, Double>, now: Long) {
+    /** Whether all jobs are admitted, only jobs with a token, or only urgent jobs with a token. */
     enum class State { OPEN, THROTTLED, CLOSED }
 
+    /** The result of [decide] for one submitted job. */
     sealed interface Decision {
-        /** [withinQuota]: it took a token, and is written before those that were admitted only because the queue was short. */
+        /** [withinQuota]: the job took a token, and is written before jobs that were admitted only because the queue was short. */
         data class Admitted(val withinQuota: Boolean) : Decision
 
-        /** To be retried after [retryAfterS] seconds. */
+        /** The user may retry after [retryAfterS] seconds. */
         data class Rejected(val retryAfterS: Int, val reason: String) : Decision
     }
 
     /**
-     * The load of this node's writes: [queueDelayS] seconds for all that is queued, [quotaQueueDelayS] for what is written
-     * before the jobs without a token, and [ownCapacityPerS] jobs a second that the node could record by itself.
+     * The load of this node's write queue: [queueDelayS] is the delay of the whole queue, [quotaQueueDelayS] the delay of the writes
+     * that precede jobs without a token, and [ownCapacityPerS] the number of jobs a second that the node can record by itself.
      */
     class WriteLoad(val queueDelayS: Double, val quotaQueueDelayS: Double, val ownCapacityPerS: Double)
 
-    /** The rates by which the node admits while it has no valid plan. */
+    /** The rates at which the node admits jobs while it has no valid plan. */
     private class FallbackRates(val jobsPerS: Map<TrafficClass, Double>, val computedAt: Long)
 
+    /** Measures the demand that the node reports to the leader. */
     val demandMeter = DemandMeter()
     private val buckets = LinkedHashMap<TrafficClass, TokenBucket>()
     private var plan: QuotaPlan? = null
@@ -41,36 +44,36 @@
     /** The epoch of the latest plan, valid or expired. */
     val epoch: PlanEpoch get() = plan?.epoch ?: PlanEpoch.NONE
 
-    /** What the valid plan grants, in jobs a second; 0 without one. */
+    /** The total rate that the valid plan grants, in jobs a second; 0 without a valid plan. */
     fun grantedPerS(now: Long): Double = validPlan(now)?.let { it.totalPerS - it.defaultPerS } ?: 0.0
 
     private fun validPlan(now: Long): QuotaPlan? = plan?.takeIf { now < planValidUntil }
 
-    /** A plan is requested from the leader now: responses to earlier requests are ignored from here on. Returns the request's time. */
+    /** Notes that a plan is requested from the leader now; responses to earlier requests are ignored. Returns the time of the request. */
     fun beginPlanRequest(now: Long): Long = now.also { planRequestedAt = it }
 
     /**
-     * Takes over the plan of the response to the request of [requestedAt]. Its validity is counted from the request, since
-     * the leader counts from no earlier moment. False: it is older than the present plan, or responds to an earlier request,
-     * and changes nothing.
+     * Installs [newPlan] from the response to the request of [requestedAt]. The validity is counted from the request, which is no later
+     * than the moment from which the leader counts. Returns false and changes nothing if [newPlan] is no newer than the current plan or
+     * answers an earlier request.
      */
-    fun installPlan(next: QuotaPlan, requestedAt: Long, now: Long): Boolean {
-        if (next.epoch <= epoch || requestedAt != planRequestedAt) return false
-        // Tokens accrued at the old rates are kept, up to the new capacity.
+    fun installPlan(newPlan: QuotaPlan, requestedAt: Long, now: Long): Boolean {
+        if (newPlan.epoch <= epoch || requestedAt != planRequestedAt) return false
+        // Tokens accrued at the old rates are kept, up to the new bucket capacity.
         buckets.forEach { (trafficClass, bucket) -> refill(trafficClass, bucket, now) }
-        plan = next
-        planValidUntil = requestedAt + next.validForMs
+        plan = newPlan
+        planValidUntil = requestedAt + newPlan.validForMs
         return true
     }
 
-    /** Decides on a job of [trafficClass] that is submitted now; [retrySalt] spreads the retries of rejected jobs. */
+    /** Decides whether to admit a job of [trafficClass] submitted now; [retrySalt] spreads the retries of rejected jobs over time. */
     fun decide(trafficClass: TrafficClass, urgent: Boolean, load: WriteLoad, retrySalt: Int, now: Long): Decision {
         demandMeter.record(trafficClass, urgent, now)
         state = nextState(load)
         refreshFallback(load.ownCapacityPerS, now)
-        val own = refilledBucket(trafficClass, now)
-        val pool = refilledBucket(TrafficClass.teamPool(trafficClass.team), now)
-        val bucket = if (own.hasToken) own else pool
+        val classBucket = refilledBucket(trafficClass, now)
+        val poolBucket = refilledBucket(TrafficClass.teamPool(trafficClass.team), now)
+        val bucket = if (classBucket.hasToken) classBucket else poolBucket
         val backlogged = trafficClass.team in validPlan(now)?.backloggedTeams.orEmpty()
         if (admits(bucket.hasToken, urgent, backlogged, load)) {
             admitted++
@@ -79,7 +82,7 @@
             return Decision.Admitted(withinQuota)
         }
         rejected++
-        val retryAfterS = retryAfterS(trafficClass, own.recordRejection(now), retrySalt, now)
+        val retryAfterS = retryAfterS(trafficClass, classBucket.recordRejection(now), retrySalt, now)
         return Decision.Rejected(retryAfterS, if (backlogged) TEAM_BACKLOGGED else OVER_CAPACITY)
     }
 
@@ -90,7 +93,7 @@
             State.CLOSED -> hasToken && urgent && load.quotaQueueDelayS < CLOSE_S * 2
         }
 
-    /** The only transitions of [state], with hysteresis: a state is left at a lower load than it is entered at. */
+    /** The next [state]. Transitions have hysteresis: a state is left at a lower load than the load at which it is entered. */
     private fun nextState(load: WriteLoad): State {
         val closeAtS = if (state == State.CLOSED) CLOSE_S * HYSTERESIS else CLOSE_S
         val congested =
@@ -102,7 +105,7 @@
         }
     }
 
-    /** Without a valid plan: max-min fair rates of what this node can record by itself, over the demand of its own users. */
+    /** Without a valid plan, computes max-min fair rates from this node's own write capacity and the demand of its users. */
     private fun refreshFallback(ownCapacityPerS: Double, now: Long) {
         if (now < planValidUntil || now - fallback.computedAt < FALLBACK_INTERVAL_MS) return
         val allocator = QuotaAllocator(weights, nodes = 1, term = 0, startedAt = now - QuotaAllocator.PLAN_VALIDITY_MS)
@@ -131,8 +134,8 @@
     }
 
     /**
-     * Spreads the retries of [rejections] recent jobs over the time that it takes to admit them one after the other, so that
-     * few are rejected again and no capacity stays unused.
+     * Spreads the retries of [rejections] recent jobs over the time needed to admit all of them at the current rate, so that few are
+     * rejected again and no capacity stays unused.
      */
     private fun retryAfterS(trafficClass: TrafficClass, rejections: Double, salt: Int, now: Long): Int {
         val ratePerS = ratePerS(trafficClass, now) + ratePerS(TrafficClass.teamPool(trafficClass.team), now)
@@ -140,7 +143,7 @@
         return 1 + (drainS * Math.floorMod(salt, SALTS) / SALTS).toInt()
     }
 
-    /** For the statistics in the log: the state, and the decisions since the last call. */
+    /** The state, and the numbers of decisions since the last call, for the statistics in the log. */
     fun statistics(): String =
         "admission ${state.name.lowercase()}, quota plan ${epoch.term}.${epoch.number}, $admitted admitted, $rejected rejected".also {
             admitted = 0
@@ -148,13 +151,13 @@
         }
 
     companion object {
-        /** From this queue delay on only jobs with a token are admitted, in seconds; users count more than a second as late. */
+        /** The queue delay, in seconds, from which only jobs with a token are admitted. Users regard responses after a second as late. */
         const val THROTTLE_S = 0.7
 
-        /** From this queue delay on a response would come too late, in seconds. */
+        /** The delay of the writes within the quota, in seconds, from which a response would come too late. */
         const val CLOSE_S = 2.0
 
-        /** The part of a threshold below which the load has to fall before the state is left. */
+        /** The fraction of a threshold below which the load must fall before the state is left. */
         private const val HYSTERESIS = 0.7
         private const val FALLBACK_INTERVAL_MS = 500L
 
@@ -164,7 +167,7 @@
         private const val MIN_PER_S = 0.05
         private const val MAX_BUCKETS = 2 * DemandMeter.MAX_CLASSES
 
-        /** Users retry for a minute; a job that is told to come back later than that is lost. */
+        /** Users give up after retrying for a minute, so a job with a longer retry time would be lost. */
         private const val MAX_RETRY_S = 20.0
         private const val SALTS = 1_000
         private const val THIS_NODE = "here"
--- a/src/main/kotlin/org/honeyjunction/core/admission/QuotaPlan.kt
+++ b/src/main/kotlin/org/honeyjunction/core/admission/QuotaPlan.kt
@@ -8,14 +8,15 @@
     override fun compareTo(other: PlanEpoch) = compareValuesBy(this, other, PlanEpoch::term, PlanEpoch::number)
 
     companion object {
+        /** The epoch of a node without a plan, older than that of any plan. */
         val NONE = PlanEpoch(0, 0)
     }
 }
 
 /**
- * What one node may admit: [grants] in jobs a second for each traffic class, and [defaultPerS] for all classes together that
- * have no grant. It ends [validForMs] milliseconds after the node asked for it. Teams in [backloggedTeams] have too many
- * tasks pending, and none of their jobs are admitted.
+ * The rates at which one node may admit jobs: [grants] in jobs a second for each traffic class, and [defaultPerS] for all classes
+ * without a grant together. The plan expires [validForMs] milliseconds after the node requested it. Teams in [backloggedTeams] have
+ * too many tasks pending, and none of their jobs are admitted.
  */
 data class QuotaPlan(
     val epoch: PlanEpoch,
@@ -28,7 +29,7 @@
     val totalPerS: Double get() = grants.values.sum() + defaultPerS
 
     companion object {
-        /** Grants nothing, and is older than any other plan. */
+        /** A plan that grants nothing and is older than any other plan. */
         val NONE = QuotaPlan(PlanEpoch.NONE, 0, emptyMap(), 0.0)
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/admission/TerminalRecordPlacement.kt
+++ b/src/main/kotlin/org/honeyjunction/core/admission/TerminalRecordPlacement.kt
@@ -3,8 +3,8 @@
 /**
  * Decides where the terminal records of jobs are written. Moving a record to the keys of terminal records takes two changes
  * of the state service. While changes are scarce, the terminal state is written in place, over the record of the active job,
- * which takes one change; the record is moved later, when no write is queued. Records in place are read by the next leader
- * together with the active jobs, so there may be at most [maxInPlace]. Times are steady milliseconds.
+ * which takes one change; the record is moved later, when no write is queued. The next leader reads the records in place
+ * together with the active jobs, so there may be at most [maxInPlace] of them. Times are steady milliseconds.
  */
 class TerminalRecordPlacement(changesPerS: Double, private val maxInPlace: Int = MAX_IN_PLACE) {
     private enum class State { IN_PLACE, MOVING }
@@ -13,22 +13,25 @@
     private val records = LinkedHashMap<String, State>()
     private var nextMoveAt = Long.MIN_VALUE / 2
 
-    /** The number of terminal records in place, those being moved included. */
+    /** The number of terminal records in place, including the records that are being moved. */
     val size: Int get() = records.size
 
     /**
-     * Whether the next terminal state is to be written in place: queued writes take [queueDelayS] seconds, or
-     * ([demandExceedsCapacity]) users submit more jobs than can be recorded.
+     * Whether the next terminal state is to be written in place, because the queued writes take long ([queueDelayS] seconds) or
+     * users submit more jobs than can be recorded ([demandExceedsCapacity]).
      */
     fun shouldWriteInPlace(queueDelayS: Double, demandExceedsCapacity: Boolean): Boolean =
         (demandExceedsCapacity || queueDelayS >= SCARCE_S) && records.size < maxInPlace
 
-    /** The terminal record of [job] is in place, written by this leader or by an earlier one. */
+    /** Notes that the terminal record of [job] is in place, written by this leader or by an earlier one. */
     fun addInPlace(job: String) {
         records.putIfAbsent(job, State.IN_PLACE)
     }
 
-    /** The job whose record is to be moved now, or null; only while [idle], no write being queued, and at a limited rate. */
+    /**
+     * Starts the next move and returns the job whose record is to be moved, or null. Records are moved only while no write is queued
+     * ([idle]), and at a limited rate.
+     */
     fun startNextMove(idle: Boolean, now: Long): String? {
         if (!idle || now < nextMoveAt) return null
         val job = records.entries.firstOrNull { it.value == State.IN_PLACE }?.key ?: return null
@@ -37,20 +40,20 @@
         return job
     }
 
-    /** Ends a move; [succeeded]: the record is moved now, or was before. Otherwise it is retried after all others. */
+    /** Ends a move. [succeeded]: the record has been moved, now or earlier; otherwise the move is retried after all other records. */
     fun finishMove(job: String, succeeded: Boolean) {
         if (records.remove(job) != null && !succeeded) records[job] = State.IN_PLACE
     }
 
     companion object {
-        /** Some 400 bytes each: eight read requests of the next leader. */
+        /** At some 400 bytes a record, the next leader reads this many records with eight requests. */
         const val MAX_IN_PLACE = 4_000
 
-        /** A write queue of this length means that changes are scarce, in seconds. */
+        /** The queue delay, in seconds, from which changes count as scarce. */
         private const val SCARCE_S = 1.0
         private const val CHANGES_PER_MOVE = 2.0
 
-        /** The share of all changes that moving may use while no other write is queued. */
+        /** The share of all changes that moves may use while no other write is queued. */
         private const val MOVE_SHARE = 0.1
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/admission/TokenBucket.kt
+++ b/src/main/kotlin/org/honeyjunction/core/admission/TokenBucket.kt
@@ -2,7 +2,10 @@
 
 import kotlin.math.exp
 
-/** The tokens of one traffic class, one for each job, and how many of its jobs were rejected lately. Times are steady milliseconds. */
+/**
+ * The token bucket of one traffic class, with one token per admitted job, and a decaying count of the rejected jobs of the class. Times
+ * are steady milliseconds.
+ */
 internal class TokenBucket(private var tokens: Double, now: Long) {
     var refilledAt = now
         private set
@@ -11,17 +14,18 @@
 
     val hasToken: Boolean get() = tokens >= 1
 
-    /** Adds what has accrued at [ratePerS] since the last refill, up to [capacity]. */
+    /** Adds the tokens accrued at [ratePerS] since the last refill, up to [capacity]. */
     fun refill(ratePerS: Double, capacity: Double, now: Long) {
         tokens = minOf(capacity, tokens + (now - refilledAt) / 1000.0 * ratePerS)
         refilledAt = now
     }
 
+    /** Removes one token. */
     fun take() {
         tokens -= 1
     }
 
-    /** Counts a rejected job; the number of recent rejections, those who retry included, is returned. */
+    /** Counts a rejected job and returns the decaying number of recent rejections, which includes retries that were rejected again. */
     fun recordRejection(now: Long): Double {
         rejections = rejections * exp(-(now - rejectedAt) / REJECTION_TIME_CONSTANT_MS) + 1
         rejectedAt = now
--- a/src/test/kotlin/org/honeyjunction/core/admission/AdmissionOverloadTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/admission/AdmissionOverloadTest.kt
@@ -9,138 +9,165 @@
 import java.util.Random
 
 /**
- * Doors of several controllers, their leader's plans and the limit of the state service in virtual time, with users who come
- * back for a minute and are then lost. Each accepted job takes one change at once and two more, by the leader, twenty
- * seconds later.
+ * Simulates the admission controllers of several nodes, the quota plans of their leader and the rate limit of the state service in
+ * virtual time. Users retry for a minute and then give up. Each accepted job takes one change at once, and two more by the leader
+ * twenty seconds later.
  */
 class AdmissionOverloadTest {
-    private class Try(val trafficClass: TrafficClass, val urgent: Boolean, val firstMs: Long, val id: Int)
+    private class Submission(val trafficClass: TrafficClass, val urgent: Boolean, val firstSubmittedAt: Long, val id: Int)
 
-    /** A new job of somebody with credit, what ends one, or a new one without credit: in this order. */
-    private class Write(val of: Try?)
+    /** A queued write: a new job ([submission]), or a write of the leader that completes a job (null). */
+    private class QueuedWrite(val submission: Submission?)
 
-    private inner class World(seed: Long, private val perS: Double, private val floodAt: (Random) -> Int) {
+    private inner class ClusterSimulation(seed: Long, private val capacityPerS: Double, private val floodNode: (Random) -> Int) {
         val random = Random(seed)
         val weights = QuotaAllocator.weights((0 until TEAMS).associate { "t$it" to 10.0 })
         val controllers = List(NODES) { AdmissionController(weights, 0) }
-        val queues = List(NODES) { List(3) { ArrayDeque<Write>() } }
+        val queues = List(NODES) { List(3) { ArrayDeque<QueuedWrite>() } }
         val tokens = DoubleArray(NODES)
         val down = BooleanArray(NODES)
         var leader = 0
         var term = 1L
         var allocator = QuotaAllocator(weights, NODES, 1, 0)
-        var shares = WriteRateAllocator(perS, NODES)
+        var writeRates = WriteRateAllocator(capacityPerS, NODES)
         var outage = false
-        var plansLost = false
-        val asked = HashMap<TrafficClass, Int>()
+        var plansAreLost = false
+        val submitted = HashMap<TrafficClass, Int>()
         val accepted = HashMap<TrafficClass, Int>()
-        val soon = HashMap<TrafficClass, Int>()
-        val lost = HashMap<TrafficClass, Int>()
-        val ends = PriorityQueue<Long>()
-        val back = PriorityQueue<Pair<Long, Try>>(compareBy<Pair<Long, Try>> { it.first }.thenBy { it.second.id })
-        var endsPerS = 0.0
-        var ids = 0
+        val acceptedWithinASecond = HashMap<TrafficClass, Int>()
+        val abandoned = HashMap<TrafficClass, Int>()
+        val completionTimes = PriorityQueue<Long>()
+        val retries = PriorityQueue<Pair<Long, Submission>>(compareBy<Pair<Long, Submission>> { it.first }.thenBy { it.second.id })
+        var completionWritesPerS = 0.0
+        var nextId = 0
         var now = 0L
 
-        fun waitS(n: Int, rank: Int) = queues[n].take(rank + 1).sumOf { it.size } / maxOf(0.1, share(n))
+        fun queueDelayS(node: Int, rank: Int) = queues[node].take(rank + 1).sumOf { it.size } / maxOf(0.1, share(node))
 
-        private fun must() = endsPerS + queues[leader][1].size / 5.0
+        private fun requiredWritesPerS() = completionWritesPerS + queues[leader][1].size / 5.0
 
-        private fun jobs(n: Int) = queues[n][0].size + queues[n][2].size
+        private fun queuedJobs(node: Int) = queues[node][0].size + queues[node][2].size
 
-        fun share(n: Int) =
-            if (n == leader) {
-                shares.leaderShare(jobs(n), must(), now)
+        fun share(node: Int) =
+            if (node == leader) {
+                writeRates.leaderShare(queuedJobs(node), requiredWritesPerS(), now)
             } else {
-                shares.followerShare("n$n", jobs(n), jobs(leader), must(), now)
+                writeRates.followerShare("n$node", queuedJobs(node), queuedJobs(leader), requiredWritesPerS(), now)
             }
 
-        private fun load(node: Int) = AdmissionController.WriteLoad(waitS(node, 2), waitS(node, 0), share(node))
+        private fun load(node: Int) = AdmissionController.WriteLoad(queueDelayS(node, 2), queueDelayS(node, 0), share(node))
 
-        fun come(t: Try, node: Int) {
+        fun submit(submission: Submission, node: Int) {
             if (down[node]) {
-                back += now + 1_000 to t
+                retries += now + 1_000 to submission
                 return
             }
-            when (val v = controllers[node].decide(t.trafficClass, t.urgent, load(node), t.id * 31, now)) {
-                is AdmissionController.Decision.Admitted -> queues[node][if (v.withinQuota) 0 else 2] += Write(t)
+            when (
+                val decision =
+                    controllers[node].decide(
+                        submission.trafficClass,
+                        submission.urgent,
+                        load(node),
+                        submission.id * 31,
+                        now,
+                    )
+            ) {
+                is AdmissionController.Decision.Admitted -> queues[node][if (decision.withinQuota) 0 else 2] += QueuedWrite(submission)
                 is AdmissionController.Decision.Rejected ->
-                    if (now - t.firstMs >
+                    if (now - submission.firstSubmittedAt >
                         60_000
                     ) {
-                        lost.merge(t.trafficClass, 1, Int::plus)
+                        abandoned.merge(submission.trafficClass, 1, Int::plus)
                     } else {
-                        back += now + v.retryAfterS * 1000L to t
+                        retries += now + decision.retryAfterS * 1000L to submission
                     }
             }
         }
 
         fun step(teams: Double, flood: Double) {
             now += 20
-            if (now % 500 == 0L && !plansLost && !down[leader]) {
-                for (n in 0 until NODES) {
-                    if (!down[n]) {
-                        val g = controllers[n]
-                        val at = g.beginPlanRequest(now)
-                        allocator.reportDemand("n$n", g.demandMeter.demand(now), g.epoch, g.grantedPerS(now), now)
-                        g.installPlan(allocator.allocate("n$n", maxOf(perS * 0.09, perS * 0.9 - must()), emptySet(), now), at, now)
+            if (now % 500 == 0L && !plansAreLost && !down[leader]) {
+                for (node in 0 until NODES) {
+                    if (!down[node]) {
+                        val controller = controllers[node]
+                        val requestedAt = controller.beginPlanRequest(now)
+                        allocator.reportDemand(
+                            "n$node",
+                            controller.demandMeter.demand(now),
+                            controller.epoch,
+                            controller.grantedPerS(now),
+                            now,
+                        )
+                        controller.installPlan(
+                            allocator.allocate(
+                                "n$node",
+                                maxOf(
+                                    capacityPerS * 0.09,
+                                    capacityPerS * 0.9 - requiredWritesPerS(),
+                                ),
+                                emptySet(),
+                                now,
+                            ),
+                            requestedAt,
+                            now,
+                        )
                     }
                 }
             }
-            while (back.isNotEmpty() && back.peek().first <= now) back.poll().let { (_, t) -> come(t, random.nextInt(NODES)) }
+            while (retries.isNotEmpty() && retries.peek().first <= now) retries.poll().let { (_, s) -> submit(s, random.nextInt(NODES)) }
             for (t in 0 until TEAMS) {
-                for ((c, urgent) in listOf("serve" to true, "batch" to false)) {
+                for ((jobClass, urgent) in listOf("serve" to true, "batch" to false)) {
                     if (random.nextDouble() <
                         teams * 0.02
                     ) {
-                        first(TrafficClass("t$t", c), urgent, random.nextInt(NODES))
+                        submitNew(TrafficClass("t$t", jobClass), urgent, random.nextInt(NODES))
                     }
                 }
             }
-            if (random.nextDouble() < flood * 0.02) first(TrafficClass("visitors", "swarm"), false, floodAt(random))
-            while (ends.isNotEmpty() && ends.peek() <= now) {
-                ends.poll()
-                repeat(2) { queues[leader][1] += Write(null) }
+            if (random.nextDouble() < flood * 0.02) submitNew(TrafficClass("visitors", "swarm"), false, floodNode(random))
+            while (completionTimes.isNotEmpty() && completionTimes.peek() <= now) {
+                completionTimes.poll()
+                repeat(2) { queues[leader][1] += QueuedWrite(null) }
             }
-            endsPerS *= 1 - 0.02 / 5
+            completionWritesPerS *= 1 - 0.02 / 5
             if (!outage) {
-                for (n in 0 until NODES) {
-                    if (!down[n]) {
-                        tokens[n] = minOf(share(n) * 0.4 + 1, tokens[n] + share(n) * 0.02)
-                        while (tokens[n] >= 1) {
-                            val w = queues[n].firstOrNull { it.isNotEmpty() }?.removeFirst() ?: break
-                            tokens[n] -= 1.0
-                            if (w.of == null) endsPerS += 0.2 else done(w.of)
+                for (node in 0 until NODES) {
+                    if (!down[node]) {
+                        tokens[node] = minOf(share(node) * 0.4 + 1, tokens[node] + share(node) * 0.02)
+                        while (tokens[node] >= 1) {
+                            val write = queues[node].firstOrNull { it.isNotEmpty() }?.removeFirst() ?: break
+                            tokens[node] -= 1.0
+                            if (write.submission == null) completionWritesPerS += 0.2 else recordAcceptance(write.submission)
                         }
                     }
                 }
             }
         }
 
-        private fun first(flow: TrafficClass, urgent: Boolean, node: Int) {
-            asked.merge(flow, 1, Int::plus)
-            come(Try(flow, urgent, now, ids++), node)
+        private fun submitNew(trafficClass: TrafficClass, urgent: Boolean, node: Int) {
+            submitted.merge(trafficClass, 1, Int::plus)
+            submit(Submission(trafficClass, urgent, now, nextId++), node)
         }
 
-        private fun done(t: Try) {
-            // A user who has waited for longer than that has asked again; the first answer counts.
-            accepted.merge(t.trafficClass, 1, Int::plus)
-            if (now - t.firstMs <= 1_000) soon.merge(t.trafficClass, 1, Int::plus)
-            ends += now + 20_000
+        private fun recordAcceptance(submission: Submission) {
+            // A user who waits for longer than a second submits again; the first response counts.
+            accepted.merge(submission.trafficClass, 1, Int::plus)
+            if (now - submission.firstSubmittedAt <= 1_000) acceptedWithinASecond.merge(submission.trafficClass, 1, Int::plus)
+            completionTimes += now + 20_000
         }
 
-        /** The node ends, with what waits there; another takes the term if it held it. */
-        fun kill(n: Int, forMs: Long): Long {
-            down[n] = true
-            queues[n].forEach { q -> q.forEach { w -> w.of?.let { back += now + 5_000 to it } } }
-            queues[n].forEach { it.clear() }
+        /** Stops [node] and drops its queued writes, whose users retry; returns the time of the restart. */
+        fun kill(node: Int, forMs: Long): Long {
+            down[node] = true
+            queues[node].forEach { queue -> queue.forEach { write -> write.submission?.let { retries += now + 5_000 to it } } }
+            queues[node].forEach { it.clear() }
             return now + forMs
         }
 
-        fun takeOver() {
+        fun electNewLeader() {
             leader = (0 until NODES).first { !down[it] }
             allocator = QuotaAllocator(weights, NODES, ++term, now)
-            shares = WriteRateAllocator(perS, NODES)
+            writeRates = WriteRateAllocator(capacityPerS, NODES)
         }
     }
 
@@ -148,50 +175,53 @@
     @CsvSource(
         delimiter = '|',
         value = [
-            // flood in jobs a second, where it comes (-1: anywhere), trouble
-            "a flood through one node that is not the leader | 14 | 1  | none",
+            // case | flood in jobs a second | node that receives it (-1: any) | fault
+            "a flood through a follower                      | 14 | 1  | none",
             "a flood through the leader                      | 14 | 0  | none",
-            "a flood everywhere                              | 14 | -1 | none",
-            "fifty times its share                           | 60 | -1 | none",
-            "the leader dies, a second node too              | 14 | -1 | deaths",
+            "a flood through all nodes                       | 14 | -1 | none",
+            "a flood of fifty times the share of its team    | 60 | -1 | none",
+            "the leader fails, later a second node           | 14 | -1 | deaths",
             "the state service is out for 15 s               | 14 | -1 | outage",
-            "no plan is heard for 20 s                       | 14 | -1 | silence",
+            "no plan arrives for 20 s                        | 14 | -1 | silence",
             "no flood at all                                 | 0  | -1 | deaths",
         ],
     )
-    fun `who asks for little is let in at once, whoever floods, and the flood gets what is left`(
+    fun `jobs of teams with little demand are accepted promptly during a flood, which gets the remaining capacity`(
         case: String,
         flood: Double,
-        at: Int,
-        trouble: String,
+        floodNode: Int,
+        fault: String,
     ) {
-        val w = World(7, 30.0) { r -> if (at < 0) r.nextInt(NODES) else at }
-        var backAt = Long.MAX_VALUE
+        val simulation = ClusterSimulation(7, 30.0) { r -> if (floodNode < 0) r.nextInt(NODES) else floodNode }
+        var restartAt = Long.MAX_VALUE
         repeat(15_000) {
-            w.step(teams = 0.06, flood = flood)
-            if (trouble == "deaths" && w.now == 100_000L) backAt = w.kill(0, 8_000)
-            if (trouble == "deaths" && w.now == 103_000L) w.takeOver()
-            if (trouble == "deaths" && w.now == 160_000L) backAt = w.kill(2, 8_000)
-            if (w.now >= backAt) {
-                w.down.fill(false)
-                backAt = Long.MAX_VALUE
+            simulation.step(teams = 0.06, flood = flood)
+            if (fault == "deaths" && simulation.now == 100_000L) restartAt = simulation.kill(0, 8_000)
+            if (fault == "deaths" && simulation.now == 103_000L) simulation.electNewLeader()
+            if (fault == "deaths" && simulation.now == 160_000L) restartAt = simulation.kill(2, 8_000)
+            if (simulation.now >= restartAt) {
+                simulation.down.fill(false)
+                restartAt = Long.MAX_VALUE
             }
-            w.outage = trouble == "outage" && w.now in 100_000..115_000
-            w.plansLost = trouble == "silence" && w.now in 100_000..120_000
+            simulation.outage = fault == "outage" && simulation.now in 100_000..115_000
+            simulation.plansAreLost = fault == "silence" && simulation.now in 100_000..120_000
         }
-        val teams = w.asked.keys.filter { it.team != "visitors" }
-        val askedFor = teams.sumOf { w.asked.getValue(it) }
-        val lost = teams.sumOf { w.lost[it] ?: 0 }
-        val soon = teams.sumOf { w.soon[it] ?: 0 } / askedFor.toDouble()
-        assertTrue(askedFor > 200, "$askedFor")
-        assertEquals(0, lost, "$case: lost of the other teams, of $askedFor")
-        // Each of the troubles keeps all nodes from accepting for some of the 300 s.
-        assertTrue(soon > if (trouble == "none") 0.93 else 0.85, "$case: within a second $soon")
-        val swarm = TrafficClass("visitors", "swarm")
+        val teams = simulation.submitted.keys.filter { it.team != "visitors" }
+        val submittedByTeams = teams.sumOf { simulation.submitted.getValue(it) }
+        val abandoned = teams.sumOf { simulation.abandoned[it] ?: 0 }
+        val acceptedWithinASecond = teams.sumOf { simulation.acceptedWithinASecond[it] ?: 0 } / submittedByTeams.toDouble()
+        assertTrue(submittedByTeams > 200, "$submittedByTeams")
+        assertEquals(0, abandoned, "$case: jobs of the other teams abandoned, of $submittedByTeams")
+        // Each fault keeps all nodes from accepting jobs for part of the 300 s.
+        assertTrue(acceptedWithinASecond > if (fault == "none") 0.93 else 0.85, "$case: accepted within a second: $acceptedWithinASecond")
+        val floodClass = TrafficClass("visitors", "swarm")
         if (flood == 0.0) return
-        val all = w.accepted.values.sum()
-        assertTrue(all > 300 * 30 * 0.9 / 3 * 0.75, "$case: $all accepted in all")
-        assertTrue((w.accepted[swarm] ?: 0) > all * 0.5, "$case: visitors ${w.accepted[swarm]} of $all")
+        val totalAccepted = simulation.accepted.values.sum()
+        assertTrue(totalAccepted > 300 * 30 * 0.9 / 3 * 0.75, "$case: $totalAccepted accepted in total")
+        assertTrue(
+            (simulation.accepted[floodClass] ?: 0) > totalAccepted * 0.5,
+            "$case: visitors ${simulation.accepted[floodClass]} of $totalAccepted",
+        )
     }
 
     private companion object {
