--- a/src/main/kotlin/org/honeyjunction/core/batching/RequestCoalescer.kt
+++ b/src/main/kotlin/org/honeyjunction/core/batching/RequestCoalescer.kt
@@ -1,13 +1,14 @@
 package org.honeyjunction.core.batching
 
 /**
- * Coalesces requests into batches without ever making a response older than its request: a request joins those for the same
- * key that are *still queued*, never those in flight, since the response to these may tell of an earlier state. Batches are
- * sent at least [intervalMs] apart and have at most [maxBatch] keys. A request that would wait for longer than [maxWaitMs] is
- * rejected at once, unless its key is queued already and so costs nothing. [T] is whoever waits for a response. Times are
- * steady milliseconds.
+ * Coalesces requests into batches such that no response reflects a state older than its request: a request joins requests for the
+ * same key that are *still queued*, but never requests in flight, whose response may reflect an earlier state. Batches are sent at
+ * least [intervalMs] apart and have at most [maxBatch] keys. A request that would wait for longer than [maxWaitMs] is rejected at once,
+ * unless its key is queued already, so that the request adds no load. [T] is the type of the waiters, each of which gets the response
+ * for its key. Times are steady milliseconds.
  */
 class RequestCoalescer<T>(private val intervalMs: Long, private val maxBatch: Int, private val maxWaitMs: Long) {
+    /** Whether requests are queued, and whether the next request may be sent at once. */
     enum class State {
         /** Nothing is queued, and the next request may be sent at once. */
         IDLE,
@@ -23,6 +24,7 @@
     private var nextBatchAt = Long.MIN_VALUE / 2
     private var rejected = 0
 
+    /** The state at time [now]. */
     fun state(now: Long): State =
         when {
             queue.isNotEmpty() -> State.QUEUED
@@ -30,26 +32,26 @@
             else -> State.IDLE
         }
 
-    /** The wait of a new request as a fraction of the longest allowed one; above 1 it would be rejected. */
+    /** The wait of a new request as a fraction of the longest allowed wait; above 1 the request would be rejected. */
     fun pressure(now: Long): Double = waitMs(now).toDouble() / maxWaitMs
 
     private fun waitMs(now: Long): Long = maxOf(0, nextBatchAt - now) + queue.size / maxBatch * intervalMs
 
-    /** False: rejected, since it would wait for too long. */
+    /** Queues a request of [waiter] for [key]; returns false if it is rejected, since it would wait for too long. */
     fun enqueue(key: String, waiter: T, now: Long): Boolean {
-        val queued = queue[key]
-        if (queued == null && waitMs(now) > maxWaitMs) {
+        val waiters = queue[key]
+        if (waiters == null && waitMs(now) > maxWaitMs) {
             rejected++
             return false
         }
-        (queued ?: ArrayList<T>().also { queue[key] = it }) += waiter
+        (waiters ?: ArrayList<T>().also { queue[key] = it }) += waiter
         return true
     }
 
-    /** When the next batch may be sent; null while nothing is queued. */
+    /** The time when the next batch may be sent; null while nothing is queued. */
     fun nextBatchAt(now: Long): Long? = if (state(now) == State.QUEUED) maxOf(now, nextBatchAt) else null
 
-    /** The batch to be sent now, oldest keys first, with all waiters of each; empty before it is due. */
+    /** Removes and returns the batch to send now: its keys, oldest first, each with all its waiters. Empty if no batch is due yet. */
     fun takeBatch(now: Long): Map<String, List<T>> {
         val dueAt = nextBatchAt(now)
         if (dueAt == null || dueAt > now) return emptyMap()
--- a/src/test/kotlin/org/honeyjunction/core/batching/RequestCoalescerTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/batching/RequestCoalescerTest.kt
@@ -13,93 +13,94 @@
     @CsvSource(
         delimiter = '|',
         value = [
-            // gap 40 ms, two keys a message, patience 80 ms; questions as key@ms, messages as keys@ms
-            "a lone question leaves at once            | a@100                                  | a@100",
-            "those within the gap leave together       | a@100 b@110 c@120                      | a@100 bc@140",
-            "the same key costs nothing more           | a@100 b@110 b@111 b@112 c@113          | a@100 bc@140",
-            "asked while on its way: asked again       | a@100 a@105                            | a@100 a@140",
-            "more than fit wait for the next           | a@100 b@110 c@111 d@112                | a@100 bc@140 d@180",
-            "too many are refused, a known key is not  | a@100 b@101 c@101 d@101 e@101 f@101 g@102 d@103 | a@100 bc@140 de@180",
-            "after a pause at once again               | a@100 b@200                            | a@100 b@200",
+            // Interval 40 ms, two keys a batch, longest wait 80 ms; requests as key@ms, batches as keys@ms.
+            "a single request is sent at once          | a@100                                  | a@100",
+            "requests within the interval are batched  | a@100 b@110 c@120                      | a@100 bc@140",
+            "requests for one key are coalesced        | a@100 b@110 b@111 b@112 c@113          | a@100 bc@140",
+            "a request in flight is not joined         | a@100 a@105                            | a@100 a@140",
+            "excess keys wait for the next batch       | a@100 b@110 c@111 d@112                | a@100 bc@140 d@180",
+            "a long queue rejects new keys only        | a@100 b@101 c@101 d@101 e@101 f@101 g@102 d@103 | a@100 bc@140 de@180",
+            "a request after a pause is sent at once   | a@100 b@200                            | a@100 b@200",
         ],
     )
-    fun `what leaves when`(case: String, questions: String, expected: String) {
+    fun `requests are coalesced into paced batches`(case: String, requests: String, expected: String) {
         val coalescer = RequestCoalescer<Int>(40, 2, 80)
-        val asked = questions.split(' ').map { it.substringBefore('@') to it.substringAfter('@').toLong() }.toMutableList()
-        val left = ArrayList<String>()
+        val pending = requests.split(' ').map { it.substringBefore('@') to it.substringAfter('@').toLong() }.toMutableList()
+        val batches = ArrayList<String>()
         for (now in 0L..400L) {
-            while (asked.firstOrNull()?.second == now) coalescer.enqueue(asked.removeFirst().first, 0, now)
-            coalescer.takeBatch(now).keys.takeIf { it.isNotEmpty() }?.let { left += it.joinToString("") + "@$now" }
+            while (pending.firstOrNull()?.second == now) coalescer.enqueue(pending.removeFirst().first, 0, now)
+            coalescer.takeBatch(now).keys.takeIf { it.isNotEmpty() }?.let { batches += it.joinToString("") + "@$now" }
         }
-        assertEquals(expected, left.joinToString(" "), case)
+        assertEquals(expected, batches.joinToString(" "), case)
         assertEquals(RequestCoalescer.State.IDLE, coalescer.state(400))
         assertEquals(0.0, coalescer.pressure(400))
     }
 
     /**
-     * Three nodes whose users ask for one job after the other; the leader's and the records' answers are slow, lost, or from
-     * a while ago when they arrive.
+     * Simulates three nodes whose users request the status of jobs. Each node asks the leader first (step 0) and, if that response is
+     * lost, reads the stored record (step 1). Responses are slow and may be outdated when they arrive. Returns the number of responses
+     * that are older than a response which any user received before the request was made.
      */
-    private fun stale(seed: Long, joinsOnTheWay: Boolean): Int {
-        class Poll(val at: Long, val node: Int, val job: Int)
+    private fun countStaleResponses(seed: Long, joinsInFlight: Boolean): Int {
+        class StatusRequest(val at: Long, val node: Int, val job: Int)
 
-        class Event(val at: Long, val act: (Long) -> Unit)
+        class Event(val at: Long, val action: (Long) -> Unit)
         val random = Random(seed)
-        // The stage of a job counts up as it is accepted, done, and so on; a user must never hear less than any user has
-        // heard before the question.
+        // The stage of a job increases when the job is accepted, done, and so on. A response must not show a lower stage than any
+        // response that a user received before the request.
         val changes = List(4) { List(6) { random.nextInt(3_000).toLong() }.sorted() }
 
         fun stage(job: Int, at: Long) = changes[job].count { it <= at }
         val events = PriorityQueue<Event>(compareBy { it.at })
-        val coalescers = List(3) { listOf(RequestCoalescer<Poll>(40, 3, 400), RequestCoalescer<Poll>(10, 1, 400)) }
-        val onTheWay = HashMap<Pair<Int, Int>, MutableList<Poll>>()
-        val told = ArrayList<Triple<Int, Long, Int>>()
-        var wrong = 0
+        val queues = List(3) { listOf(RequestCoalescer<StatusRequest>(40, 3, 400), RequestCoalescer<StatusRequest>(10, 1, 400)) }
+        val inFlight = HashMap<Pair<Int, Int>, MutableList<StatusRequest>>()
+        val responses = ArrayList<Triple<Int, Long, Int>>()
+        var staleResponses = 0
 
-        fun tell(poll: Poll, stage: Int, now: Long) {
-            if (told.any { it.first == poll.job && it.second < poll.at && it.third > stage }) wrong++
-            told += Triple(poll.job, now, stage)
+        fun respond(request: StatusRequest, stage: Int, now: Long) {
+            if (responses.any { it.first == request.job && it.second < request.at && it.third > stage }) staleResponses++
+            responses += Triple(request.job, now, stage)
         }
 
-        fun ask(poll: Poll, step: Int, now: Long) {
-            val way = onTheWay[poll.node to poll.job]
-            if (joinsOnTheWay && way != null) way += poll else coalescers[poll.node][step].enqueue(poll.job.toString(), poll, now)
+        fun send(request: StatusRequest, step: Int, now: Long) {
+            val sent = inFlight[request.node to request.job]
+            if (joinsInFlight && sent != null) sent += request else queues[request.node][step].enqueue(request.job.toString(), request, now)
         }
 
-        fun leave(node: Int, step: Int, now: Long) {
-            for ((key, polls) in coalescers[node][step].takeBatch(now)) {
+        fun sendBatch(node: Int, step: Int, now: Long) {
+            for ((key, queuedRequests) in queues[node][step].takeBatch(now)) {
                 val job = key.toInt()
-                val way = polls.toMutableList()
-                onTheWay[node to job] = way
+                val sent = queuedRequests.toMutableList()
+                inFlight[node to job] = sent
                 val readAt = now + 1 + random.nextInt(120)
                 val lost = step == 0 && random.nextInt(5) == 0
                 events +=
                     Event(readAt) { _ ->
-                        val read = stage(job, readAt)
+                        val observedStage = stage(job, readAt)
                         events +=
                             Event(readAt + 1 + random.nextInt(300)) { at ->
-                                onTheWay.remove(node to job, way)
-                                way.forEach { if (lost) ask(it, 1, at) else tell(it, read, at) }
+                                inFlight.remove(node to job, sent)
+                                sent.forEach { if (lost) send(it, 1, at) else respond(it, observedStage, at) }
                             }
                     }
             }
         }
         repeat(400) {
-            val poll = Poll(random.nextInt(3_000).toLong(), random.nextInt(3), random.nextInt(4))
-            events += Event(poll.at) { ask(poll, 0, it) }
+            val request = StatusRequest(random.nextInt(3_000).toLong(), random.nextInt(3), random.nextInt(4))
+            events += Event(request.at) { send(request, 0, it) }
         }
         for (now in 0L..6_000L) {
-            while (events.isNotEmpty() && events.peek().at <= now) events.poll().act(now)
-            for (node in 0..2) for (step in 0..1) leave(node, step, now)
+            while (events.isNotEmpty() && events.peek().at <= now) events.poll().action(now)
+            for (node in 0..2) for (step in 0..1) sendBatch(node, step, now)
         }
-        assertTrue(told.size > 200, "${told.size} answers")
-        return wrong
+        assertTrue(responses.size > 200, "${responses.size} responses")
+        return staleResponses
     }
 
     @Test
-    fun `no user hears less than any user has heard before the question, whatever is late or lost`() {
-        assertEquals(0, (1L..60L).sumOf { stale(it, joinsOnTheWay = false) })
-        // What would break it is found: a question that joins one which is on its way.
-        assertTrue((1L..60L).sumOf { stale(it, joinsOnTheWay = true) } > 0)
+    fun `no response is older than one received before the request when responses are slow or lost`() {
+        assertEquals(0, (1L..60L).sumOf { countStaleResponses(it, joinsInFlight = false) })
+        // The test detects the error of joining a request that is in flight.
+        assertTrue((1L..60L).sumOf { countStaleResponses(it, joinsInFlight = true) } > 0)
     }
 }
