--- a/src/main/kotlin/org/honeyjunction/core/placement/ColocationPlanner.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/ColocationPlanner.kt
@@ -5,34 +5,35 @@
 import java.util.PriorityQueue
 
 /**
- * Chooses where the tasks of a job gather whose rules ask for the same rack, zone or type. The cost of a cell then depends on where
- * the job's other tasks go, which an assignment can't express; so a place is chosen first, and the assignment counts from it.
+ * Chooses a place for the tasks of each job whose rules ask for the same rack, zone or machine type. The cost of such a task on a
+ * machine depends on where the job's other tasks run, which an assignment problem can't express. So a place is chosen first, and the
+ * assignment computes its costs as if the other tasks ran there. A place is an index of [RuleTable.places].
  */
 class ColocationPlanner(private val summary: Summary, private val settings: CostSettings, private val rules: RuleView) {
     private val table = rules.table
 
-    /** A machine's free capacity with its scene for the rules, computed once for all places that are compared. */
+    /** A machine's free capacity and its scene, which the rules are evaluated on; computed once for all places that are compared. */
     private class Site(val capacity: FreeCapacity, val scene: RuleTable.Scene, val sceneIndex: Int)
 
-    /** A machine with the number of the job's tasks that fit on it. */
-    private class FittingSite(val site: Site, val fits: Int)
+    /** A machine and how many of the job's tasks fit on it. */
+    private class SiteWithFit(val site: Site, val fittingTasks: Int)
 
     private val sites by lazy(LazyThreadSafetyMode.NONE) {
         summary.capacities.filter { it.place >= 0 }.map { capacity -> capacity.scene.let { Site(capacity, it, rules.scene(it)) } }
     }
 
-    /** What gathering at [place] would cost the tasks together; the choice with the fewest tasks [left] out is best. */
-    private class Choice(val place: Int, val left: Int, val penalty: Double, val fetchGb: Double)
+    /** The total cost of colocating a job's tasks at [place]; the choice with the fewest [unplaced] tasks is the best. */
+    private class Choice(val place: Int, val unplaced: Int, val ruleCost: Double, val fetchGb: Double)
 
     /**
-     * The rows, each with the place where its job gathers among its mates. A gang is left out that had better wait, for no longer
-     * than [CostSettings.patienceMs], for a place that meets its preferences.
+     * Returns the rows, with the chosen place as the mate of each row whose job is to be colocated. A gang whose preferences no place
+     * meets is left out of the round, so that it waits for a better place, until it has waited for [CostSettings.patienceMs].
      */
     fun choose(rows: List<TaskRow>): List<TaskRow> {
         if (rules.empty) return rows
         val jobs = rows.filter { table.asksSame(it.shape) && it.mates.isEmpty() }.groupBy { it.job }
         if (jobs.isEmpty()) return rows
-        val choices = jobs.mapValues { (_, tasks) -> best(tasks.first(), tasks.size) }
+        val choices = jobs.mapValues { (_, tasks) -> bestChoice(tasks.first(), tasks.size) }
         return rows.mapNotNull { row ->
             val choice = choices[row.job]
             when {
@@ -43,42 +44,42 @@
         }
     }
 
-    private fun TaskRow.mayWaitForBetterThan(choice: Choice) = gangSize > 0 && choice.penalty > 0 && waitingMs < settings.patienceMs
+    private fun TaskRow.mayWaitForBetterThan(choice: Choice) = gangSize > 0 && choice.ruleCost > 0 && waitingMs < settings.patienceMs
 
     /**
-     * The place at which [count] tasks like [sample] lose least. They are alike, so filling the cheapest machines first is optimal for
-     * each place, and places can be compared by it. Places that agree in all that is asked for count as one; of very many, those with
-     * the most room are compared.
+     * The place with the lowest total cost for [count] tasks like [sample]. The tasks are interchangeable, so filling the cheapest
+     * machines first is optimal for each place. Places with equal values of all requested labels count as one, and at most
+     * [MAX_PLACES] are compared, those where the most tasks fit.
      */
-    private fun best(sample: TaskRow, count: Int): Choice? {
+    private fun bestChoice(sample: TaskRow, count: Int): Choice? {
         val labels = table.sameLabels(sample.shape)
-        val possible =
+        val usable =
             sites
                 .filter { sample.allows(it.capacity) }
-                .map { FittingSite(it, minOf(sample.need.countIn(it.capacity.free), count)) }
-        return possible
+                .map { SiteWithFit(it, minOf(sample.need.countIn(it.capacity.free), count)) }
+        return usable
             .groupBy { candidate -> labels.map { table.places[candidate.site.capacity.place][it] } }
             .values
-            .sortedByDescending { here -> here.sumOf { it.fits } }
-            .take(MOST_PLACES)
-            .map { here -> costOfGathering(sample, count, possible, here.first().site.capacity.place) }
-            .minWithOrNull(compareBy<Choice> { it.left }.thenBy { it.penalty }.thenBy { it.fetchGb })
+            .sortedByDescending { machines -> machines.sumOf { it.fittingTasks } }
+            .take(MAX_PLACES)
+            .map { machines -> colocationCost(sample, count, usable, machines.first().site.capacity.place) }
+            .minWithOrNull(compareBy<Choice> { it.unplaced }.thenBy { it.ruleCost }.thenBy { it.fetchGb })
     }
 
-    private fun costOfGathering(sample: TaskRow, count: Int, candidates: List<FittingSite>, place: Int): Choice {
+    private fun colocationCost(sample: TaskRow, count: Int, candidates: List<SiteWithFit>, place: Int): Choice {
         val mates = listOf(place)
         val dependsOnNeighbours = table.dependsOnNeighbours(sample.shape)
-        // The cheapest cells so far, the most expensive of them first: most machines are turned away by one comparison.
+        // The cheapest cells so far, the most expensive one at the head, so that one comparison rejects most machines.
         val cells = PriorityQueue(MOST_EXPENSIVE_FIRST)
         for (candidate in candidates) {
             val site = candidate.site
             val fetchGb = if (sample.image in site.capacity.images) 0.0 else sample.imageGb
-            for (position in 0 until candidate.fits) {
+            for (position in 0 until candidate.fittingTasks) {
                 val scene = if (dependsOnNeighbours && position > 0) site.scene.with(sample.shape, position) else site.scene
                 val sceneIndex = if (scene === site.scene) site.sceneIndex else rules.scene(scene)
                 val cell = Cell(rules.cost(sample.shape, scene, sceneIndex, mates), fetchGb)
-                val full = cells.size == count
-                if (cell.barred || full && MOST_EXPENSIVE_FIRST.compare(cells.peek(), cell) >= 0) break
+                val complete = cells.size == count
+                if (cell.forbidden || complete && MOST_EXPENSIVE_FIRST.compare(cells.peek(), cell) >= 0) break
                 cells += cell
                 if (cells.size > count) cells.poll()
             }
@@ -86,16 +87,16 @@
         return Choice(place, count - cells.size, cells.sumOf { it.cost }, cells.sumOf { it.fetchGb })
     }
 
-    /** What a place for one task would cost it. */
+    /** The cost of one task on one machine. */
     private class Cell(val cost: Double, val fetchGb: Double) {
-        val barred get() = cost == Double.POSITIVE_INFINITY
+        val forbidden get() = cost == Double.POSITIVE_INFINITY
     }
 
     companion object {
-        private const val MOST_PLACES = 8
+        private const val MAX_PLACES = 8
         private val MOST_EXPENSIVE_FIRST = compareByDescending<Cell> { it.cost }.thenByDescending { it.fetchGb }
 
-        /** The rows still waiting after a pass, with the places of their job's tasks that the pass placed among their mates. */
+        /** The rows that still wait after a pass, each with the places of the tasks of its job that the pass placed as additional mates. */
         fun withPlacedMates(
             waiting: List<TaskRow>,
             taken: List<Proposal>,
--- a/src/main/kotlin/org/honeyjunction/core/placement/CostMatrix.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/CostMatrix.kt
@@ -6,24 +6,29 @@
 import kotlin.math.min
 
 /**
- * A column of the matrix: the [place]th free slot of a machine, or one that will be free [upcoming]. [near]: the machine caches an image
- * that some row needs.
+ * A column of the matrix: a free slot of a machine, numbered by [slotIndex] from 0, or a slot that running tasks will free
+ * ([upcoming]). [cachesWantedImage]: the machine caches an image that some row needs.
  */
-class CandidateSlot(val capacity: FreeCapacity, val place: Int, val upcoming: UpcomingCapacity? = null, val near: Boolean = false)
+class CandidateSlot(
+    val capacity: FreeCapacity,
+    val slotIndex: Int,
+    val upcoming: UpcomingCapacity? = null,
+    val cachesWantedImage: Boolean = false,
+)
 
 /**
- * Whether the row may wait for [slot]: its image is there, and it has not waited for longer than a fetch would take. Gangs
- * do not wait, since all of their tasks would have to.
+ * Whether the task may wait for the upcoming [slot]: the machine caches the task's image, and the task has waited for less time than
+ * fetching the image would take. Gangs do not wait, since all of their tasks would have to.
  */
 fun TaskRow.mayAwait(slot: CandidateSlot) =
     gangSize == 0 && image in slot.capacity.images && allows(slot.capacity) && waitingMs / 1000.0 * slot.capacity.fetchGbPerS < imageGb
 
-/** The paper's cost of a cell, fairness plus data locality (formulas 4 to 9); docs/design.md lists what is added and why. */
+/** The paper's cost of a task on a slot, fairness plus data locality (formulas 4 to 9); docs/design.md lists the extensions and why. */
 class CostMatrix(private val summary: Summary, private val settings: CostSettings, private val rules: RuleView = RuleView(summary.rules)) {
     private val weights = weights(summary.teams)
     private val running = summary.teams.sumOf { it.running }
 
-    /** The paper's group fairness cost (formulas 5 and 6): the team's part of the running tasks over its weight, in percent. */
+    /** The paper's group fairness cost (formulas 5 and 6): the team's share of the running tasks divided by its weight, in percent. */
     fun groupCost(team: Int): Double {
         if (running == 0) return 0.0
         return summary.teams[team].running.toDouble() / running / weights[team] * 100
@@ -33,8 +38,8 @@
     fun slotsToOccupy(team: Int, waiting: Int): Int =
         min(max(0.0, summary.slots * weights[team] - summary.teams[team].running), waiting.toDouble()).toInt()
 
-    /** The rows in the order of priority, guarantee, group cost and age. */
-    fun order(rows: List<TaskRow>): List<TaskRow> {
+    /** Sorts [rows] by priority, guarantee, whether the deadline can still be met, group cost and waiting time. */
+    fun sortByPrecedence(rows: List<TaskRow>): List<TaskRow> {
         val costs = summary.teams.indices.map(::groupCost)
         return rows.sortedWith(
             compareByDescending<TaskRow> { it.priority }
@@ -46,54 +51,47 @@
     }
 
     /**
-     * The fairness cost of each row: up to [slotsToOccupy] tasks of a team cost its group cost, those whose image is cached first;
-     * the others cost beta (1 - weight).
+     * The fairness cost of each row: [groupCost] for up to [slotsToOccupy] tasks of a team, tasks with a cached image first, and
+     * beta (1 - weight) for the team's other tasks.
      */
-    fun fairness(rows: List<TaskRow>, slots: List<CandidateSlot>): DoubleArray {
+    fun fairnessCosts(rows: List<TaskRow>, slots: List<CandidateSlot>): DoubleArray {
         val cached = slots.flatMapTo(HashSet()) { it.capacity.images.asList() }
         val result = DoubleArray(rows.size)
         rows.indices.groupBy { rows[it].team }.forEach { (team, members) ->
             val (local, remote) = members.partition { rows[it].image in cached }
-            val within = slotsToOccupy(team, members.size)
+            val atGroupCost = slotsToOccupy(team, members.size)
             (local + remote).forEachIndexed { position, row ->
-                result[row] = if (position < within) groupCost(team) else settings.beta * (1 - weights[team])
+                result[row] = if (position < atGroupCost) groupCost(team) else settings.beta * (1 - weights[team])
             }
         }
-        // Extensions: priority outweighs both costs; waiting lowers the cost, as the paper suggests against starvation.
+        // Extensions: priority outweighs both costs, and waiting lowers the cost, as the paper suggests against starvation.
         rows.forEachIndexed { i, row ->
-            val level = (Priority.PRODUCTION.ordinal - row.priority.ordinal) * 4 + (if (row.guaranteed) 0 else 2) + if (row.late) 1 else 0
-            result[i] += settings.priorityStep * level - min(settings.beta, settings.agingPerS * row.waitingMs / 1000)
+            val precedence =
+                (Priority.PRODUCTION.ordinal - row.priority.ordinal) * 4 + (if (row.guaranteed) 0 else 2) + if (row.late) 1 else 0
+            result[i] += settings.priorityStep * precedence - min(settings.beta, settings.agingPerS * row.waitingMs / 1000)
         }
         return result
     }
 
-    /** The cost of [row] on [slot] without rules; [BARRED] where it may not run. */
+    /** The cost of [row] on [slot] without the operators' rules; [FORBIDDEN] where the task may not run. */
     fun cost(row: TaskRow, slot: CandidateSlot, fairness: Double): Double {
-        // A wait counts as the gigabytes that could be fetched meanwhile.
-        if (slot.upcoming !=
-            null
-        ) {
-            return if (row.mayAwait(
-                    slot,
-                )
-            ) {
-                fairness + settings.alpha * slot.upcoming.availableInS * slot.capacity.fetchGbPerS
-            } else {
-                BARRED
-            }
+        // Waiting costs as many gigabytes as could be fetched in that time.
+        if (slot.upcoming != null) {
+            return if (row.mayAwait(slot)) fairness + settings.alpha * slot.upcoming.availableInS * slot.capacity.fetchGbPerS else FORBIDDEN
         }
-        // Slots are sized for the smallest task: of a larger one, fewer fit.
-        if (!row.allows(slot.capacity) || slot.place > 0 && slot.place >= row.need.countIn(slot.capacity.free)) return BARRED
+        // Slots are sized for the smallest task, so fewer tasks of a larger size fit.
+        if (!row.allows(slot.capacity) || slot.slotIndex > 0 && slot.slotIndex >= row.need.countIn(slot.capacity.free)) return FORBIDDEN
         val locality = if (row.image in slot.capacity.images) 0.0 else settings.alpha * (row.imageGb + slot.capacity.fetchingGb)
-        val kind = if (row.spot && !slot.capacity.spot) settings.spotPreference else 0.0
-        // A tie is broken towards the fuller machine, which leaves whole machines free.
+        val onDemandCost = if (row.spot && !slot.capacity.spot) settings.spotPreference else 0.0
+        // Ties are broken towards the fuller machine, which leaves whole machines free.
         val packing = settings.packing * (slot.capacity.free.gpus - row.need.gpus)
-        return fairness + locality + kind + packing
+        return fairness + locality + onDemandCost + packing
     }
 
     /**
-     * What the operators' rules add to the cells of each job that they apply to: the weights of unmet preferences, as gigabytes, or
-     * [BARRED] for a requirement. A later slot of a machine counts as beside the tasks that the slots before it took.
+     * The cost that the operators' rules add on each slot, by job index, for the jobs that have rules: the weights of unmet
+     * preferences as gigabytes, or [FORBIDDEN] if a requirement is not met. For a later slot of a machine, the rules are evaluated as
+     * if tasks of the same job occupied the machine's earlier slots.
      */
     fun ruleCosts(rows: List<TaskRow>, slots: List<CandidateSlot>): Map<Int, DoubleArray> {
         if (rules.empty) return emptyMap()
@@ -101,21 +99,21 @@
             val dependsOnNeighbours = rules.table.dependsOnNeighbours(row.shape)
             row.job to
                 DoubleArray(slots.size) { column ->
-                    val scene = slots[column].capacity.scene.with(row.shape, if (dependsOnNeighbours) slots[column].place else 0)
+                    val scene = slots[column].capacity.scene.with(row.shape, if (dependsOnNeighbours) slots[column].slotIndex else 0)
                     val cost = rules.cost(row.shape, scene, rules.scene(scene), row.mates)
-                    if (cost == Double.POSITIVE_INFINITY) BARRED else settings.alpha * min(cost, MAX_RULES_GB)
+                    if (cost == Double.POSITIVE_INFINITY) FORBIDDEN else settings.alpha * min(cost, MAX_RULES_GB)
                 }
         }
     }
 
     companion object {
-        /** The cost of a cell that may not be used; far above any real cost. */
-        const val BARRED = 1e9
+        /** The cost of a task on a slot that it may not use; far above any real cost. */
+        const val FORBIDDEN = 1e9
 
-        /** Bounds the sum of unmet preferences below the step between priorities. */
+        /** Keeps the sum of unmet preferences, in gigabytes, below [CostSettings.priorityStep]. */
         private const val MAX_RULES_GB = 9_000.0
 
-        /** Guarantees normalised to a sum of 1, floored at 0.01. */
+        /** The teams' weights normalised to a sum of 1, each at least 0.01. */
         fun weights(teams: List<TeamShare>): DoubleArray {
             val sum = teams.sumOf { it.weight }
             return DoubleArray(teams.size) { i ->
--- a/src/main/kotlin/org/honeyjunction/core/placement/FirstFitEstimate.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/FirstFitEstimate.kt
@@ -4,19 +4,19 @@
 import org.honeyjunction.core.rules.RuleTable
 
 /**
- * Estimates, by first fit in the given order, which waiting tasks there is room for when all are taken together.
+ * Estimates by first fit, in the order of the calls, which of the waiting tasks fit on the free capacity together.
  *
- * A round is given the rows that fit before all others, so that rows that nothing can take do not fill its bounds; what it goes on
- * not placing of them is what the work conservation monitor reports. [skipFetching]: a machine that fetches an image is no room for a
- * task that would fetch after that, since the round lets such a task wait.
+ * A round gets the rows that fit before all others, so that rows which fit on no machine do not use up its bounds. The work
+ * conservation monitor reports tasks that fit by this estimate and that rounds repeatedly fail to place. [skipFetching]: a machine
+ * that fetches an image doesn't count for a task that would fetch another one afterwards, since the round lets such a task wait.
  */
 class FirstFitEstimate(capacities: List<FreeCapacity>, private val rules: RuleTable, private val skipFetching: Boolean = false) {
-    private class Site(val capacity: FreeCapacity, var free: Resources, var scene: RuleTable.Scene)
+    private class Candidate(val capacity: FreeCapacity, var free: Resources, var scene: RuleTable.Scene)
 
-    /** Fuller machines first, which leaves whole ones to gangs. */
-    private val sites =
+    /** Machines with the fewest free GPUs first, which leaves empty machines to gangs. */
+    private val candidates =
         capacities.sortedBy { it.free.gpus }.map {
-            Site(
+            Candidate(
                 it,
                 it.free,
                 if (rules.empty) RuleTable.Scene.NOWHERE else it.scene,
@@ -24,72 +24,72 @@
         }
     private val jobsWithReservation = capacities.mapNotNullTo(HashSet()) { capacity -> capacity.reservedFor.takeIf { it >= 0 } }
 
-    /** Rows that did not fit beside those before: what asks for the same or more does not fit either. */
+    /** Rows that did not fit next to the reservations so far; a row that requires at least as much does not fit either. */
     private val failed = ArrayList<TaskRow>()
 
-    /** Indices of the machines that something was counted into. */
-    private val used = HashSet<Int>()
+    /** Indices of the machines that have a reservation of this estimate. */
+    private val usedMachines = HashSet<Int>()
 
     /**
-     * At most [most] of [capacities], which bounds the summary of a very large fleet: machines that something was counted into come first,
-     * then those that cache an image of [rows].
+     * Selects at most [limit] of [capacities], which bounds the summary of a very large fleet: first the machines with a reservation
+     * of this estimate, then the machines that cache an image of [rows].
      */
-    fun selectCapacities(capacities: List<FreeCapacity>, rows: List<TaskRow>, most: Int): List<FreeCapacity> {
-        if (capacities.size <= most) return capacities
+    fun selectCapacities(capacities: List<FreeCapacity>, rows: List<TaskRow>, limit: Int): List<FreeCapacity> {
+        if (capacities.size <= limit) return capacities
         val images = rows.mapTo(HashSet()) { it.image }
-        val usedFirst = compareBy<FreeCapacity> { it.machine !in used }
-        return capacities.sortedWith(usedFirst.thenBy { capacity -> capacity.images.none { it in images } }).take(most)
+        val usedFirst = compareBy<FreeCapacity> { it.machine !in usedMachines }
+        return capacities.sortedWith(usedFirst.thenBy { capacity -> capacity.images.none { it in images } }).take(limit)
     }
 
-    /** Takes room for [count] tasks like [sample] beside those before and returns for how many there was; of a gang all or none. */
+    /** Reserves capacity for up to [count] tasks like [sample] and returns for how many; for a gang, for all tasks or none. */
     fun reserve(sample: TaskRow, count: Int): Int {
         val hasReservation = sample.job in jobsWithReservation
         if (!hasReservation && failed.any { sample.requiresAtLeast(it) }) return 0
-        val taken = if (sample.oneZone) takeInOneZone(sample, count) else takeAmong(sites, sample, count)
-        if (taken == 0 && !hasReservation) failed += sample
-        return taken
+        val reserved = if (sample.oneZone) reserveInOneZone(sample, count) else reserveAmong(candidates, sample, count)
+        if (reserved == 0 && !hasReservation) failed += sample
+        return reserved
     }
 
-    private fun takeInOneZone(sample: TaskRow, count: Int): Int {
-        val zones = sites.filter { sample.allows(it.capacity, it.free) }.groupBy { it.capacity.zone }.values
-        val roomiest = zones.maxByOrNull { there -> there.sumOf { sample.need.countIn(it.free) } } ?: return 0
-        return takeAmong(roomiest, sample, count)
+    private fun reserveInOneZone(sample: TaskRow, count: Int): Int {
+        val zones = candidates.filter { sample.allows(it.capacity, it.free) }.groupBy { it.capacity.zone }.values
+        val largestZone = zones.maxByOrNull { there -> there.sumOf { sample.need.countIn(it.free) } } ?: return 0
+        return reserveAmong(largestZone, sample, count)
     }
 
-    private fun takeAmong(among: List<Site>, sample: TaskRow, count: Int): Int {
-        val chosen = ArrayList<Pair<Site, Int>>()
-        var left = count
+    private fun reserveAmong(eligible: List<Candidate>, sample: TaskRow, count: Int): Int {
+        val chosen = ArrayList<Pair<Candidate, Int>>()
+        var remaining = count
         val remainingPerZone = sample.remainingPerZone?.toIntArray()
-        for (site in among) {
-            if (left == 0) break
-            val here = fitting(sample, site, left, remainingPerZone)
-            if (here <= 0) continue
-            remainingPerZone?.let { it[site.capacity.zone] -= here }
-            left -= here
-            chosen += site to here
+        for (candidate in eligible) {
+            if (remaining == 0) break
+            val fittingTasks = tasksThatFit(sample, candidate, remaining, remainingPerZone)
+            if (fittingTasks <= 0) continue
+            remainingPerZone?.let { it[candidate.capacity.zone] -= fittingTasks }
+            remaining -= fittingTasks
+            chosen += candidate to fittingTasks
         }
-        if (sample.gangSize > 0 && left > 0) return 0
-        for ((site, here) in chosen) occupy(site, sample, here)
-        return count - left
+        if (sample.gangSize > 0 && remaining > 0) return 0
+        for ((candidate, fittingTasks) in chosen) occupy(candidate, sample, fittingTasks)
+        return count - remaining
     }
 
-    private fun fitting(sample: TaskRow, site: Site, most: Int, remainingPerZone: IntArray?): Int {
-        if (!sample.allows(site.capacity, site.free) || skipFetching && sample.fetchesAfter(site.capacity)) return 0
-        var fits = minOf(most, sample.need.countIn(site.free))
-        if (remainingPerZone != null) fits = minOf(fits, remainingPerZone[site.capacity.zone])
-        return if (rules.empty) fits else permittedByRules(sample, site, fits)
+    private fun tasksThatFit(sample: TaskRow, candidate: Candidate, limit: Int, remainingPerZone: IntArray?): Int {
+        if (!sample.allows(candidate.capacity, candidate.free) || skipFetching && sample.fetchesAfter(candidate.capacity)) return 0
+        var fits = minOf(limit, sample.need.countIn(candidate.free))
+        if (remainingPerZone != null) fits = minOf(fits, remainingPerZone[candidate.capacity.zone])
+        return if (rules.empty) fits else permittedByRules(sample, candidate, fits)
     }
 
-    private fun occupy(site: Site, sample: TaskRow, tasks: Int) {
-        site.free -= sample.need * tasks
-        used += site.capacity.machine
-        if (!rules.empty) site.scene = site.scene.with(sample.shape, tasks)
+    private fun occupy(candidate: Candidate, sample: TaskRow, tasks: Int) {
+        candidate.free -= sample.need * tasks
+        usedMachines += candidate.capacity.machine
+        if (!rules.empty) candidate.scene = candidate.scene.with(sample.shape, tasks)
     }
 
-    /** How many of [most] tasks the rules allow beside one another. */
-    private fun permittedByRules(sample: TaskRow, site: Site, most: Int): Int {
-        var permitted = 0
-        while (permitted < most && rules.barred(sample.shape, site.scene.with(sample.shape, permitted), sample.mates) == null) permitted++
-        return permitted
+    /** How many tasks, up to [limit], the rules allow on the same machine. */
+    private fun permittedByRules(sample: TaskRow, candidate: Candidate, limit: Int): Int {
+        var allowed = 0
+        while (allowed < limit && rules.barred(sample.shape, candidate.scene.with(sample.shape, allowed), sample.mates) == null) allowed++
+        return allowed
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/placement/Preemption.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/Preemption.kt
@@ -3,7 +3,7 @@
 import org.honeyjunction.core.model.Priority
 import org.honeyjunction.core.model.Resources
 
-/** A running task as a candidate for preemption: stopping it frees [need] and loses [lostWorkS] seconds of work. */
+/** A running task that may be preempted: stopping the task frees [need] and loses [lostWorkS] seconds of work. */
 class PreemptibleTask<T>(
     val task: T,
     val machine: Int,
@@ -14,13 +14,16 @@
     val lostWorkS: Double,
 )
 
-/** Chooses the running tasks to preempt for a waiting one; pure functions. */
+/** Pure functions that choose the running tasks to preempt for a waiting task. */
 object Preemption {
-    /** A task may preempt lower priorities, and, within its team's guarantee, other teams' work beyond theirs. */
+    /**
+     * Whether [row] may preempt [victim]: a task may preempt lower priorities and, within its own team's guarantee, tasks of other teams
+     * that exceed their guarantees.
+     */
     fun <T> mayPreempt(row: TaskRow, victim: PreemptibleTask<T>): Boolean =
         victim.priority < row.priority || row.guaranteed && victim.team != row.team && !victim.guaranteed
 
-    /** The victims among [running] that make [free] enough for [row]; null if all of them together do not. */
+    /** The tasks of [running] to stop so that [row] fits in [free] and what they free; null if stopping all of them is not enough. */
     fun <T> victims(row: TaskRow, free: Resources, running: List<PreemptibleTask<T>>): List<PreemptibleTask<T>>? {
         var available = free
         val chosen = ArrayList<PreemptibleTask<T>>()
--- a/src/main/kotlin/org/honeyjunction/core/placement/RoundProgress.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/RoundProgress.kt
@@ -2,20 +2,20 @@
 
 import org.honeyjunction.core.rules.RuleView
 
-/** What is left of a round: free capacity and waiting rows shrink as its passes take tasks. Confined to one round. */
+/** The remaining free capacity and waiting rows of one round, which shrink as its passes place tasks. */
 internal class RoundProgress(private val summary: Summary) {
     private var capacities = summary.capacities
     private var waiting = summary.rows
     val rules = RuleView(summary.rules)
 
-    /** All proposals of the round so far, in the order in which they were taken. */
+    /** All proposals of the round so far, in the order in which they were made. */
     val proposals = ArrayList<Proposal>()
 
-    /** The summary that the next pass is solved over. */
+    /** The input of the next pass. */
     val remaining get() = withRows(waiting)
     val hasWaiting get() = waiting.isNotEmpty()
 
-    /** The remaining capacity with [rows] in place of all that wait. */
+    /** The remaining capacity with [rows] in place of all waiting rows. */
     fun withRows(rows: List<TaskRow>) = Summary(capacities, summary.teams, summary.slots, rows, summary.rules)
 
     fun rowsOf(job: Int): List<TaskRow> = waiting.filter { it.job == job }
@@ -25,18 +25,18 @@
         waiting = waiting.filter { it.job != job }
     }
 
-    /** Takes the proposals of a pass, and the rows that wait for a slot that will be free soon or for a fetch to end. */
+    /** Records a pass: its proposals [taken], and the rows [awaiting] a slot that a running task will free, or the end of a fetch. */
     fun take(taken: List<Proposal>, awaiting: Map<TaskRow, CandidateSlot>) {
         proposals += taken
         val rowsByTask = waiting.associateBy { it.job to it.task }
         capacities = capacitiesAfter(taken, awaiting, rowsByTask)
-        val settled = taken.mapTo(HashSet()) { it.job to it.task }
-        awaiting.keys.mapTo(settled) { it.job to it.task }
-        // A job bound to one zone or spread over zones goes on in the next round, with its zones counted anew.
-        val bound = taken.mapTo(HashSet()) { it.job }
+        val decided = taken.mapTo(HashSet()) { it.job to it.task }
+        awaiting.keys.mapTo(decided) { it.job to it.task }
+        // A job bound to one zone or spread over zones continues in the next round, whose summary counts its tasks per zone again.
+        val jobsWithProposals = taken.mapTo(HashSet()) { it.job }
         waiting =
             waiting.filter { row ->
-                (row.job to row.task) !in settled && !(row.job in bound && (row.oneZone || row.remainingPerZone != null))
+                (row.job to row.task) !in decided && !(row.job in jobsWithProposals && (row.oneZone || row.remainingPerZone != null))
             }
         if (!rules.empty) waiting = ColocationPlanner.withPlacedMates(waiting, taken, capacities, summary.rules)
     }
@@ -47,13 +47,13 @@
         rowsByTask: Map<Pair<Int, Int>, TaskRow>,
     ): List<FreeCapacity> {
         val takenByMachine = taken.groupBy { it.machine }
-        val promised = awaiting.values.mapNotNullTo(HashSet()) { it.upcoming }
-        val awaitedNeeds = awaiting.entries.filter { it.value.upcoming == null }.groupBy({ it.value.capacity.machine }, { it.key.need })
-        return capacities.map { before ->
-            val left = awaitedNeeds[before.machine].orEmpty().fold(before.free) { free, need -> free - need }
-            val capacity = before.withFree(left, upcoming = before.upcoming.filter { it !in promised })
-            val here = takenByMachine[capacity.machine]
-            if (here == null) capacity else withTasks(capacity, here.map { rowsByTask.getValue(it.job to it.task) })
+        val awaitedReleases = awaiting.values.mapNotNullTo(HashSet()) { it.upcoming }
+        val awaitedResources = awaiting.entries.filter { it.value.upcoming == null }.groupBy({ it.value.capacity.machine }, { it.key.need })
+        return capacities.map { previous ->
+            val freeAfterAwaited = awaitedResources[previous.machine].orEmpty().fold(previous.free) { free, need -> free - need }
+            val capacity = previous.withFree(freeAfterAwaited, upcoming = previous.upcoming.filter { it !in awaitedReleases })
+            val proposalsHere = takenByMachine[capacity.machine]
+            if (proposalsHere == null) capacity else withTasks(capacity, proposalsHere.map { rowsByTask.getValue(it.job to it.task) })
         }
     }
 
--- a/src/main/kotlin/org/honeyjunction/core/placement/Summary.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/Summary.kt
@@ -4,7 +4,7 @@
 import org.honeyjunction.core.model.Resources
 import org.honeyjunction.core.rules.RuleTable
 
-/** The free resources of one machine, as a round sees it; [floor] is the lowest priority that may use it now. */
+/** The free resources of one machine as a round sees them; [floor] is the lowest priority that may use the machine now. */
 class FreeCapacity(
     val machine: Int,
     val free: Resources,
@@ -13,19 +13,21 @@
     val spot: Boolean,
     val images: IntArray,
     val floor: Priority = Priority.LOW,
-    /** Gigabytes that the machine is fetching already, at [fetchGbPerS] shared by all its fetches. */
+    /** Gigabytes that the machine still has to fetch; all its fetches share [fetchGbPerS]. */
     val fetchingGb: Double = 0.0,
     val fetchGbPerS: Double = 0.0,
     val upcoming: List<UpcomingCapacity> = emptyList(),
-    /** The job that the machine is reserved for; higher priorities may use it all the same. Below 0: none. */
+    /** The job that the machine is reserved for, or a negative number; priorities above [reservedPriority] may use the machine too. */
     val reservedFor: Int = -1,
     val reservedPriority: Priority = Priority.LOW,
-    /** The machine's index in the compiled rules, and the shapes of the tasks that are or may be on it; see core.rules. */
+    /** The machine's place in the compiled rules (see [RuleTable]), and in [running] the shapes of the tasks that run or may run on it. */
     val place: Int = -1,
-    val running: IntArray = NOTHING,
+    val running: IntArray = NO_TASKS,
 ) {
+    /** The machine as the operators' rules are evaluated on it. */
     val scene: RuleTable.Scene get() = RuleTable.Scene(place, running, images)
 
+    /** The same machine with other free resources, cached images, fetches, upcoming releases or running tasks. */
     fun withFree(
         free: Resources,
         images: IntArray = this.images,
@@ -49,7 +51,7 @@
         running,
     )
 
-    /** The same capacity without reservation and priority floor. */
+    /** The same capacity without its reservation and priority floor. */
     fun unreserved() =
         FreeCapacity(
             machine,
@@ -67,19 +69,19 @@
         )
 
     private companion object {
-        val NOTHING = IntArray(0)
+        val NO_TASKS = IntArray(0)
     }
 }
 
-/** Resources [need] that a running task will probably free in [availableInS] seconds, sooner than an image could be fetched. */
+/** The [resources] that a running task is expected to free in [availableInS] seconds; in a summary, before an image could be fetched. */
 class UpcomingCapacity(val availableInS: Double, val resources: Resources)
 
 /** A team's fairness [weight] and its number of [running] tasks. */
 class TeamShare(val weight: Double, val running: Int)
 
 /**
- * A waiting task: a row of the matrix; [gangSize] tasks start together or not at all (0: alone). [zones] and [types] are bit
- * masks of what is allowed at this moment.
+ * A waiting task, which is a row of the cost matrix. The [gangSize] tasks of a gang start together or not at all; 0 means that the
+ * task is not part of a gang. [zones] and [types] are bit masks of the zones and machine types that are allowed now.
  */
 data class TaskRow(
     val job: Int,
@@ -96,23 +98,27 @@
     val oneZone: Boolean,
     val gangSize: Int,
     val guaranteed: Boolean,
-    /** How many more of the job's tasks each zone may take; null where nothing bounds them. */
+    /** How many more of the job's tasks may start in each zone; null if there is no limit. */
     val remainingPerZone: List<Int>? = null,
-    /** Its deadline can't be met any more: rows of the same priority and guarantee that still can meet theirs go first. */
+    /** Whether the task can no longer meet its deadline; rows of equal priority and guarantee that still can go first. */
     val late: Boolean = false,
-    /** The task's index in the compiled rules (below 0: none), and the places of its job's other tasks where a rule needs them. */
+    /** The task's shape in the compiled rules (see [RuleTable]); negative: none. */
     val shape: Int = -1,
+    /** The places of the job's other tasks, if a rule depends on them. */
     val mates: List<Int> = emptyList(),
 ) {
+    /** Whether the task may start on the machine of [capacity] if [free] resources are left, apart from the operators' rules. */
     fun allows(capacity: FreeCapacity, free: Resources = capacity.free): Boolean =
         (capacity.reservedFor < 0 || capacity.reservedFor == job || priority > capacity.reservedPriority) &&
             allows(capacity.type, capacity.zone, capacity.spot, capacity.floor, free)
 
     /**
-     * Images fetched at the same time share a machine's rate: a second fetch would be ready no sooner than if it began after
-     * the first, and would only delay that one. Production waits too, unless its own fetch is so much shorter that both
-     * together are ready sooner on average: with r left of the first and y of its own, 3y + r against 2r + y. It has waited
-     * enough when the first fetch should have ended.
+     * Whether the task waits until the machine of [capacity] has fetched other images, and fetches its own afterwards.
+     *
+     * Concurrent fetches share a machine's rate: a second fetch would end no sooner than if it began after the first, and would only
+     * delay the first. Production tasks wait too, unless their own fetch is so much shorter that both fetches end sooner on average
+     * when they overlap: with r gigabytes left of the first fetch and y of the second, the sum of both is 3y + r with overlap and
+     * 2r + y without. A production task stops waiting when the first fetch should have ended.
      */
     fun fetchesAfter(capacity: FreeCapacity): Boolean {
         if (gangSize > 0 || capacity.fetchingGb <= 0 || image in capacity.images) return false
@@ -121,7 +127,7 @@
             waitingMs / 1000.0 * capacity.fetchGbPerS < capacity.fetchingGb
     }
 
-    /** Whether [other] could start wherever this row could, since it asks for no more. */
+    /** Whether this row requires at least as much as [other], so that [other] can start wherever this row can. */
     fun requiresAtLeast(other: TaskRow): Boolean =
         other.shape == shape &&
             other.mates == mates &&
@@ -133,6 +139,7 @@
             types and other.types.inv() == 0L &&
             other.need.fitsIn(need)
 
+    /** Whether the task may start on a machine of this type and zone, apart from reservations and the operators' rules. */
     fun allows(type: Int, zone: Int, spotMachine: Boolean, floor: Priority, free: Resources): Boolean =
         (zones shr zone) and 1L != 0L &&
             (types shr type) and 1L != 0L &&
@@ -141,7 +148,10 @@
             need.fitsIn(free)
 }
 
-/** The leader's summary for one controller: free room and images, team shares, and that controller's waiting tasks. */
+/**
+ * The input of one controller's placement round, computed by the leader: free capacity and cached images, team shares, and that
+ * controller's waiting tasks. [slots] is the number of task slots of the cluster.
+ */
 class Summary(
     val capacities: List<FreeCapacity>,
     val teams: List<TeamShare>,
@@ -150,12 +160,12 @@
     val rules: RuleTable = RuleTable.NONE,
 )
 
-/** A start that a controller proposes to the leader; indices of the leader's job, the job's task and the machine. */
+/** A task start that a controller proposes to the leader: the index of the job at the leader, of its task and of the machine. */
 data class Proposal(val job: Int, val task: Int, val machine: Int)
 
 /**
- * Weights of the cost of a cell and bounds of a round. Costs are in gigabytes to fetch ([alpha] weighs them) and in the paper's
- * fairness units ([beta] weighs a team beyond its share); [agingPerS] is what waiting takes off per second.
+ * Weights of the placement cost and bounds of a round. The cost sums gigabytes to fetch, weighted by [alpha], and the paper's fairness
+ * cost, where [beta] weighs teams beyond their share. [agingPerS] is the cost reduction for each second of waiting.
  */
 data class CostSettings(
     val alpha: Double = 1.0,
@@ -165,6 +175,6 @@
     val packing: Double = 0.05,
     val agingPerS: Double = 0.05,
     val maxColumns: Int = 64,
-    /** How long a gang may wait for a place that meets its preferences better than any that is free. */
+    /** How long a gang may wait for a place that meets its preferences better than any free place. */
     val patienceMs: Long = 3_000,
 )
--- a/src/test/kotlin/org/honeyjunction/core/placement/PlacementRoundBenchmark.kt
+++ b/src/test/kotlin/org/honeyjunction/core/placement/PlacementRoundBenchmark.kt
@@ -20,7 +20,10 @@
 import org.junit.jupiter.api.Tag
 import org.junit.jupiter.api.Test
 
-/** How long a round takes on so many machines under so many rules; not part of the tests: mvn test -Dgroups=measure -DexcludedGroups= */
+/**
+ * Measures the duration of a round for several numbers of machines and rules. Not part of the tests; run with
+ * `mvn test -Dgroups=measure -DexcludedGroups=`.
+ */
 @Tag("measure")
 class PlacementRoundBenchmark {
     @Test
@@ -28,17 +31,17 @@
         for ((rules, machines) in listOf(0 to 1_400, 10 to 1_400, 200 to 1_400, 0 to 5_000, 0 to 20_000)) {
             val (summary, bytes) = summary(rules, machines)
             val round = PlacementRound()
-            repeat(WARM) { round.place(summary) }
+            repeat(WARMUP_ROUNDS) { round.place(summary) }
             val times =
-                LongArray(RUNS) {
+                LongArray(MEASURED_ROUNDS) {
                     val from = System.nanoTime()
                     round.place(summary)
                     System.nanoTime() - from
                 }.sorted()
             val placed = round.place(summary).size
             println(
-                "$machines machines, $rules rules: round ${"%.2f".format(times[RUNS / 2] / 1e6)} ms (p95 ${"%.2f".format(
-                    times[RUNS * 95 / 100] / 1e6,
+                "$machines machines, $rules rules: round ${"%.2f".format(times[MEASURED_ROUNDS / 2] / 1e6)} ms (p95 ${"%.2f".format(
+                    times[MEASURED_ROUNDS * 95 / 100] / 1e6,
                 )}), $placed placed, summary $bytes bytes",
             )
             assertTrue(placed > 0)
@@ -67,7 +70,7 @@
                     ) { """{"name":"vm-${"%02d".format(it)}*","labels":{"rack":"r$it"}}""" }}]}""".toByteArray(),
                 ),
             )
-        // A third each of what machines are, what runs there, and where the others are.
+        // One third of the rules each on machine attributes, on tasks that run on the machine, and on the place of the job's other tasks.
         val text =
             (0 until rules).joinToString("\n") { i ->
                 when (i % 3) {
@@ -169,7 +172,7 @@
     }
 
     private companion object {
-        const val WARM = 60
-        const val RUNS = 60
+        const val WARMUP_ROUNDS = 60
+        const val MEASURED_ROUNDS = 60
     }
 }
--- a/src/test/kotlin/org/honeyjunction/core/placement/PlacementRoundTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/placement/PlacementRoundTest.kt
@@ -55,8 +55,8 @@
     private fun placed(summary: Summary) = round.place(summary).associate { (it.job to it.task) to it.machine }
 
     @Test
-    fun `figure 1 of the paper - both tasks run where their blocks are`() {
-        // T1's data is on both nodes, T2's on the first alone; the greedy scheduler gives the first node to T1.
+    fun `figure 1 of the paper - both tasks run on nodes that have their data`() {
+        // The data of T1 is on both nodes, that of T2 only on the first; a greedy scheduler would give the first node to T1.
         val t1 = row(1, image = 1)
         val t2 = row(2, image = 2)
         val both = summary(listOf(capacity(10, 1, 0, false, 1, 2), capacity(11, 1, 0, false, 1)), t1, t2)
@@ -64,16 +64,16 @@
     }
 
     @Test
-    fun `two teams of weights 1 and 3 share the slots by their rations`() {
+    fun `two teams of weights 1 and 3 share the slots in proportion`() {
         val rows = (0 until 8).map { row(1, it, team = 0) } + (0 until 8).map { row(2, it, team = 1) }
         val capacities = (0 until 8).map { capacity(it) }
         assertEquals(mapOf(1 to 2, 2 to 6), round.place(summary(capacities, *rows.toTypedArray())).groupingBy { it.job }.eachCount())
     }
 
     @Test
-    fun `formulas 6 and 9`() {
-        val s = Summary(List(8) { capacity(it) }, listOf(TeamShare(1.0, 3), TeamShare(3.0, 1)), 8, emptyList())
-        val matrix = CostMatrix(s, CostSettings())
+    fun `group cost and slots to occupy follow formulas 6 and 9 of the paper`() {
+        val summary = Summary(List(8) { capacity(it) }, listOf(TeamShare(1.0, 3), TeamShare(3.0, 1)), 8, emptyList())
+        val matrix = CostMatrix(summary, CostSettings())
         assertEquals(300.0, matrix.groupCost(0), 1e-9)
         assertEquals(100.0 / 3, matrix.groupCost(1), 1e-9)
         assertEquals(0, matrix.slotsToOccupy(0, 9))
@@ -85,15 +85,15 @@
     @CsvSource(
         "a gang that fits starts whole,           gang,2,2",
         "a gang that does not fit does not start, gang,3,0",
-        "an array starts what fits,               array,3,2",
-        "a job of one zone stays in one,          zone,2,1",
-        "a spread job fills no zone beyond half,  spread,3,2",
-        "no spot machine unless allowed,          spot,1,0",
-        "no zone that is not allowed,             barred,1,0",
-        "no type that is not allowed,             type,1,0",
-        "a task larger than any room waits,       large,1,0",
+        "an array starts the tasks that fit,      array,3,2",
+        "a one-zone job stays in one zone,        zone,2,1",
+        "a spread job keeps its limit per zone,   spread,3,2",
+        "a spot machine is used only if allowed,  spot,1,0",
+        "no task starts in a forbidden zone,      barred,1,0",
+        "no task starts on a forbidden type,      type,1,0",
+        "a task too large for any machine waits,  large,1,0",
     )
-    fun `what may start`(name: String, kind: String, tasks: Int, expected: Int) {
+    fun `the expected number of tasks starts`(name: String, kind: String, tasks: Int, expected: Int) {
         val capacities =
             when (kind) {
                 "spot" -> listOf(capacity(0, spot = true))
@@ -118,10 +118,10 @@
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        "a slot that has the image is awaited if it is free before a fetch ends, 20, 0, 0, false",
-        "not if the fetch is done first,                                         60, 0, 0, true",
-        "nor after having waited for as long as a fetch,                         20, 51000, 0, true",
-        "nor by a gang,                                                          20, 0, 1, true",
+        "waits for a machine with the image that is free before a fetch ends, 20, 0, 0, false",
+        "starts elsewhere if a fetch ends first,                              60, 0, 0, true",
+        "starts elsewhere after waiting for as long as a fetch,               20, 51000, 0, true",
+        "a gang does not wait,                                                20, 0, 1, true",
     )
     fun `a row whose image is on a busy machine`(name: String, freeInS: Double, waitingMs: Long, gangSize: Int, starts: Boolean) {
         val busy =
@@ -141,18 +141,18 @@
     }
 
     @Test
-    fun `a machine that fetches an image starts no second fetch, but takes tasks of the same image`() {
+    fun `a machine that fetches an image starts no second fetch but accepts tasks of that image`() {
         val fetching = FreeCapacity(0, gpus(3), 0, 0, false, intArrayOf(1), fetchingGb = 4.0, fetchGbPerS = 0.1)
         assertEquals(mapOf((1 to 0) to 0), placed(summary(listOf(fetching), row(1, image = 1), row(2, image = 2))))
     }
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        "a replica waits for a fetch that is nearly done,        4.0,  0,     false",
-        "but not for one of more than twice its own length,      10.5, 0,     true",
-        "nor when it has waited for as long as it should take,   4.0,  41000, true",
+        "waits for a fetch that ends soon,                       4.0,  0,     false",
+        "does not wait for a fetch of over twice its own length, 10.5, 0,     true",
+        "does not wait beyond the expected end of the fetch,     4.0,  41000, true",
     )
-    fun `production beside a fetch`(name: String, leftGb: Double, waitingMs: Long, placed: Boolean) {
+    fun `a production task on a machine that fetches another image`(name: String, leftGb: Double, waitingMs: Long, placed: Boolean) {
         val fetching = FreeCapacity(0, gpus(3), 0, 0, false, intArrayOf(1), fetchingGb = leftGb, fetchGbPerS = 0.1)
         assertEquals(
             placed,
@@ -162,25 +162,25 @@
     }
 
     @Test
-    fun `tasks of one image come to lie on one machine, since one fetch serves them all`() {
+    fun `tasks of one image are placed on one machine and share one fetch`() {
         val rows = (0 until 8).map { row(it % 2 + 1, it, image = it % 2) }
         val byMachine = round.place(summary(listOf(capacity(0, 4), capacity(1, 4)), *rows.toTypedArray())).groupBy { it.machine }
-        assertEquals(listOf(1, 1), byMachine.values.map { there -> there.distinctBy { it.job }.size })
+        assertEquals(listOf(1, 1), byMachine.values.map { proposals -> proposals.distinctBy { it.job }.size })
     }
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        "the job it is kept for may use it, 5, NORMAL, 1",
-        "another of the same priority may not, 6, NORMAL, 0",
-        "a higher priority may, 6, HIGH, 1",
+        "the reserving job may use the machine, 5, NORMAL, 1",
+        "another job of the same priority may not, 6, NORMAL, 0",
+        "a job of higher priority may, 6, HIGH, 1",
     )
-    fun `a machine that is kept for a gang`(name: String, job: Int, priority: Priority, starts: Int) {
-        val kept = FreeCapacity(0, gpus(4), 0, 0, false, intArrayOf(), reservedFor = 5, reservedPriority = Priority.NORMAL)
-        assertEquals(starts, placed(summary(listOf(kept), row(job, gpus = 4, priority = priority))).size, name)
+    fun `a machine that is reserved for a gang`(name: String, job: Int, priority: Priority, starts: Int) {
+        val reserved = FreeCapacity(0, gpus(4), 0, 0, false, intArrayOf(), reservedFor = 5, reservedPriority = Priority.NORMAL)
+        assertEquals(starts, placed(summary(listOf(reserved), row(job, gpus = 4, priority = priority))).size, name)
     }
 
     @Test
-    fun `one busy slot is awaited by one row, the others start elsewhere`() {
+    fun `one task waits for a busy slot and the others start elsewhere`() {
         val busy =
             FreeCapacity(
                 0,
@@ -197,7 +197,7 @@
     }
 
     @Test
-    fun `higher priority goes first, and what is left takes the rest of the room`() {
+    fun `a task of higher priority starts first and others use the remaining capacity`() {
         val capacities = listOf(capacity(0, 4))
         val low = (0 until 4).map { row(1, it, image = 2, priority = Priority.LOW) }
         val high = row(2, gpus = 3, priority = Priority.PRODUCTION)
@@ -206,7 +206,7 @@
     }
 
     @Test
-    fun `a task that waited long goes before a newer one whose image is cached`() {
+    fun `a task that has waited long starts before a newer one whose image is cached`() {
         val capacities = listOf(capacity(0, 1, 0, false, 2))
         val old = row(1, waitingMs = 600_000)
         assertEquals(listOf(1), round.place(summary(capacities, row(2, image = 2), old)).map { it.job })
@@ -214,28 +214,28 @@
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        "lower priority makes room,                HIGH,true,NORMAL,0,true,true",
-        "equal priority does not,                  HIGH,true,HIGH,0,false,false",
-        "borrowed work of another team does,       NORMAL,true,HIGH,1,false,true",
-        "another team's guaranteed work does not,  NORMAL,true,HIGH,1,true,false",
-        "nothing is taken for work beyond a guarantee, NORMAL,false,HIGH,1,false,false",
+        "a lower priority is preempted,            HIGH,true,NORMAL,0,true,true",
+        "an equal priority is not,                 HIGH,true,HIGH,0,false,false",
+        "another team's work beyond its guarantee, NORMAL,true,HIGH,1,false,true",
+        "not another team's guaranteed work,       NORMAL,true,HIGH,1,true,false",
+        "not for a task beyond its own guarantee,  NORMAL,false,HIGH,1,false,false",
     )
-    fun preemption(
+    fun `a waiting task preempts only what it may`(
         name: String,
-        mine: Priority,
+        priority: Priority,
         guaranteed: Boolean,
-        theirs: Priority,
+        victimPriority: Priority,
         team: Int,
-        theirsGuaranteed: Boolean,
-        stops: Boolean,
+        victimGuaranteed: Boolean,
+        preempts: Boolean,
     ) {
-        val waiting = row(1, priority = mine, guaranteed = guaranteed)
-        val victim = PreemptibleTask("v", 0, team, theirs, theirsGuaranteed, gpus(1), 5.0)
-        assertEquals(if (stops) listOf(victim) else null, Preemption.victims(waiting, Resources.NONE, listOf(victim)), name)
+        val waiting = row(1, priority = priority, guaranteed = guaranteed)
+        val victim = PreemptibleTask("v", 0, team, victimPriority, victimGuaranteed, gpus(1), 5.0)
+        assertEquals(if (preempts) listOf(victim) else null, Preemption.victims(waiting, Resources.NONE, listOf(victim)), name)
     }
 
     @Test
-    fun `no more is stopped than is needed, and what loses least first`() {
+    fun `the fewest tasks are preempted, those that lose the least work first`() {
         val running = listOf(90.0, 3.0, 5.0).map { PreemptibleTask(it, 0, 0, Priority.LOW, true, gpus(1), it) }
         assertEquals(listOf(3.0), Preemption.victims(row(1), Resources.NONE, running)?.map { it.task })
         assertEquals(listOf(3.0, 5.0), Preemption.victims(row(1, gpus = 3), gpus(1), running)?.map { it.task })
--- a/src/test/kotlin/org/honeyjunction/core/placement/RulesPlacementTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/placement/RulesPlacementTest.kt
@@ -29,10 +29,10 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 
-/** Rounds under rules: the hard cases by tables, and random clusters against every assignment that there is. */
+/** Placement under rules: special cases as tables, and random clusters compared with an exhaustive search over assignments. */
 class RulesPlacementTest {
-    /** A small cluster whose machines m0, m1, ... have the racks that a string names letter by letter. */
-    private class Setting(rules: String, racks: String, val spotEvery: Int = 0, val slots: Int = 1) {
+    /** A small cluster of machines m0, m1, ..., where each letter of `racks` is the rack of one machine. */
+    private class RulesFixture(rules: String, racks: String, val spotEvery: Int = 0, val slots: Int = 1) {
         val cluster =
             Cluster(
                 NameTable().also { n ->
@@ -114,7 +114,7 @@
                 )
             }
 
-        fun box(machine: Int) =
+        fun machineSpec(machine: Int) =
             MachineSpec(
                 "m$machine",
                 "",
@@ -133,30 +133,30 @@
             )
 
         fun capacity(machine: Int, running: List<JobSpec> = emptyList(), cached: Boolean = false): FreeCapacity {
-            val box = box(machine)
-            val zone = cluster.zones.find(box.zone)
+            val machineSpec = machineSpec(machine)
+            val zone = cluster.zones.find(machineSpec.zone)
             return FreeCapacity(
                 machine,
                 Resources(1.0, 1.0, 1.0) * slots,
                 0,
                 zone,
-                box.spot,
+                machineSpec.spot,
                 if (cached) intArrayOf(0) else intArrayOf(),
-                place = book.place(box.name, 0, zone, box.spot),
+                place = book.place(machineSpec.name, 0, zone, machineSpec.spot),
                 running = running.map { book.shape(it) }.filter { it >= 0 }.toIntArray(),
             )
         }
 
-        /** As another controller sees it: through the wire. */
+        /** Runs a round on the summary after encoding and decoding, as another controller receives it. */
         fun place(capacities: List<FreeCapacity>, rows: List<TaskRow>, patienceMs: Long = 0): List<Proposal> {
             val summary = Summary(capacities, listOf(TeamShare(1.0, 0)), capacities.size, rows, book.table)
-            val told =
+            val decoded =
                 PeerCodec.decode(
                     okio.Buffer().write(PeerCodec.encode(PeerMessage.SummaryResponse(1, true, QuotaPlan.NONE, 1.0, summary))),
                 ) as PeerMessage.SummaryResponse
             return PlacementRound(
                 CostSettings(packing = 0.0, spotPreference = 0.0, agingPerS = 0.0, patienceMs = patienceMs),
-            ).place(told.summary)
+            ).place(decoded.summary)
         }
     }
 
@@ -165,45 +165,50 @@
         delimiter = '|',
         value = [
             // case | rule | class | racks | tasks | slots | runs on m0 | placed on
-            "a must bars                         | for all { must machine.rack = \"b\" }                        | q | aab  | 2 | 1 " +
+            "a requirement excludes machines     | for all { must machine.rack = \"b\" }                        | q | aab  | 2 | 1 " +
                 "|   | m2",
-            "nothing meets it: it waits          | for all { must machine.rack = \"z\" }                        | q | aab  | 2 | 1 |   | ",
-            "a preference is met where it can be | for all { prefer machine.rack = \"b\" weight 5 }             | q | aab  | 1 | 1 " +
+            "an unmet requirement waits          | for all { must machine.rack = \"z\" }                        | q | aab  | 2 | 1 |   | ",
+            "a preference is met if possible     | for all { prefer machine.rack = \"b\" weight 5 }             | q | aab  | 1 | 1 " +
                 "|   | m2",
             "a preference does not stop a start  | for all { prefer machine.rack = \"z\" weight 500 }           | q | aa   | 2 | 1 " +
                 "|   | m0 m1",
-            "against what runs                   | for class \"q\" { must not machine runs class \"b\" }        | q | aa   | 2 | 1 " +
+            "not with a running class            | for class \"q\" { must not machine runs class \"b\" }        | q | aa   | 2 | 1 " +
                 "| b | m1",
-            "and the other way round             | for class \"b\" { must not machine runs class \"q\" }        | q | aa   | 2 | 1 " +
+            "a running task's rule binds too     | for class \"b\" { must not machine runs class \"q\" }        | q | aa   | 2 | 1 " +
                 "| b | m1",
-            "but not where it is one way         | for class \"b\" { must not machine runs class \"q\" one way } | q | aa   | 2 | 1 " +
+            "a one-way rule does not bind others | for class \"b\" { must not machine runs class \"q\" one way } | q | aa   | 2 | 1 " +
                 "| b | m0 m1",
-            "beside what runs                    | for class \"q\" { must machine runs class \"b\" }            | q | aa   | 2 | 1 " +
+            "only with a running class           | for class \"q\" { must machine runs class \"b\" }            | q | aa   | 2 | 1 " +
                 "| b | m0",
-            "each on a machine of its own        | for class \"q\" { must not machine runs class \"q\" }        | q | aa   | 4 | 4 " +
+            "one task per machine as a must      | for class \"q\" { must not machine runs class \"q\" }        | q | aa   | 4 | 4 " +
                 "|   | m0 m1",
-            "rather on a machine of its own      | for class \"q\" { prefer not machine runs class \"q\" weight 9 } | q | aab | 3 | " +
+            "one task per machine preferred      | for class \"q\" { prefer not machine runs class \"q\" weight 9 } | q | aab | 3 | " +
                 "4 | | m0 m1 m2",
-            "a preference against a constraint   | for all { must machine.rack = \"a\" prefer machine.rack = \"b\" weight 900 } | q " +
+            "a requirement outranks a preference | for all { must machine.rack = \"a\" prefer machine.rack = \"b\" weight 900 } | q " +
                 "| ab | 1 | 1 | | m0",
-            "all in one rack, as a must          | for all { must same rack }                                   | q | abb  | 3 | 1 " +
+            "same rack as a requirement          | for all { must same rack }                                   | q | abb  | 3 | 1 " +
                 "|   | m1 m2",
         ],
     )
-    fun `hard cases`(
+    fun `tasks are placed as the rule requires`(
         case: String,
         rule: String,
         jobClass: String,
         racks: String,
         tasks: Int,
         slots: Int,
-        runs: String?,
+        runningClass: String?,
         expected: String?,
     ) {
-        val s = Setting("rule \"r\" $rule", racks, slots = slots)
-        val beside = runs?.let { listOf(s.spec(9, it)) }.orEmpty()
-        val capacities = racks.indices.map { s.capacity(it, if (it == 0) beside else emptyList()) }
-        val placed = s.place(capacities, s.rows(s.spec(1, jobClass, tasks = tasks), 1)).map { "m${it.machine}" }.distinct().sorted()
+        val fixture = RulesFixture("rule \"r\" $rule", racks, slots = slots)
+        val runningThere = runningClass?.let { listOf(fixture.spec(9, it)) }.orEmpty()
+        val capacities = racks.indices.map { fixture.capacity(it, if (it == 0) runningThere else emptyList()) }
+        val placed =
+            fixture
+                .place(capacities, fixture.rows(fixture.spec(1, jobClass, tasks = tasks), 1))
+                .map { "m${it.machine}" }
+                .distinct()
+                .sorted()
         assertEquals(expected.orEmpty(), placed.joinToString(" "), case)
     }
 
@@ -214,34 +219,41 @@
         "abcd,4,0,1",
         "aaaa,4,0,4",
         "abbbbc,4,0,4",
-        // It may wait a little for something better, but only where there is something to gain.
+        // The gang waits for a better place only if its preference is not met.
         "aabb,4,90000,0",
         "aaaab,4,90000,4",
         "baaaa,4,90000,4",
         "bbcaaaa,4,90000,4",
     )
-    fun `a gang prefers one rack`(racks: String, tasks: Int, patienceMs: Long, together: Int) {
-        val s = Setting("rule \"r\" for kind gang { prefer same rack weight 20 }", racks)
-        val placed = s.place(racks.indices.map { s.capacity(it) }, s.rows(s.spec(1, "g", JobKind.GANG, tasks), 1), patienceMs)
-        assertEquals(if (together == 0) 0 else tasks, placed.size, "whole or not at all")
-        assertEquals(together, placed.groupingBy { racks[it.machine] }.eachCount().values.maxOrNull() ?: 0)
+    fun `a gang prefers one rack`(racks: String, tasks: Int, patienceMs: Long, largestGroup: Int) {
+        val fixture = RulesFixture("rule \"r\" for kind gang { prefer same rack weight 20 }", racks)
+        val placed =
+            fixture.place(
+                racks.indices.map { fixture.capacity(it) },
+                fixture.rows(fixture.spec(1, "g", JobKind.GANG, tasks), 1),
+                patienceMs,
+            )
+        assertEquals(if (largestGroup == 0) 0 else tasks, placed.size, "the gang starts whole or not at all")
+        assertEquals(largestGroup, placed.groupingBy { racks[it.machine] }.eachCount().values.maxOrNull() ?: 0)
     }
 
     @org.junit.jupiter.api.Test
-    fun `a gang whose tasks may not share a machine starts whole although slots lie side by side`() {
-        val s = Setting("rule \"r\" for kind gang { must not machine runs kind gang }", "aaaa", slots = 8)
-        val placed = s.place(List(4) { s.capacity(it) }, s.rows(s.spec(1, "g", JobKind.GANG, 4), 1))
+    fun `a gang whose tasks may not share a machine starts on separate machines with several slots each`() {
+        val fixture = RulesFixture("rule \"r\" for kind gang { must not machine runs kind gang }", "aaaa", slots = 8)
+        val placed = fixture.place(List(4) { fixture.capacity(it) }, fixture.rows(fixture.spec(1, "g", JobKind.GANG, 4), 1))
         assertEquals(4, placed.map { it.machine }.distinct().size)
     }
 
     @org.junit.jupiter.api.Test
-    fun `two jobs that are kept apart and come in one round do not meet on a machine`() {
-        val s = Setting("rule \"r\" for class \"q\" { must not machine runs class \"b\" }", "aa", slots = 4)
-        val q = s.rows(s.spec(1, "q", tasks = 3), 1)
-        val b = s.rows(s.spec(2, "b", tasks = 3), 2)
-        val placed = s.place(listOf(s.capacity(0), s.capacity(1)), q + b)
+    fun `two jobs that may not share a machine are placed on separate machines in one round`() {
+        val fixture = RulesFixture("rule \"r\" for class \"q\" { must not machine runs class \"b\" }", "aa", slots = 4)
+        val q = fixture.rows(fixture.spec(1, "q", tasks = 3), 1)
+        val b = fixture.rows(fixture.spec(2, "b", tasks = 3), 2)
+        val placed = fixture.place(listOf(fixture.capacity(0), fixture.capacity(1)), q + b)
         assertTrue(placed.size >= 3, "$placed")
-        placed.groupBy { it.machine }.values.forEach { here -> assertEquals(1, here.map { it.job }.distinct().size, "$here") }
+        placed.groupBy { it.machine }.values.forEach { proposals ->
+            assertEquals(1, proposals.map { it.job }.distinct().size, "$proposals")
+        }
     }
 
     class Case(val rules: String, val racks: String, val classes: List<String>, val cached: List<Boolean>, val running: List<String>)
@@ -289,9 +301,13 @@
     }
 
     @org.junit.jupiter.api.Test
-    fun `jobs that no free machine may take do not hold back those behind them`() {
-        val s = Setting("rule \"r\" for class \"q\" { must machine.rack = \"z\" }", "a")
-        val placed = s.place(listOf(s.capacity(0)), s.rows(s.spec(1, "q", tasks = 9), 1) + s.rows(s.spec(2, "t"), 2))
+    fun `jobs that fit no free machine do not block later jobs`() {
+        val fixture = RulesFixture("rule \"r\" for class \"q\" { must machine.rack = \"z\" }", "a")
+        val placed =
+            fixture.place(
+                listOf(fixture.capacity(0)),
+                fixture.rows(fixture.spec(1, "q", tasks = 9), 1) + fixture.rows(fixture.spec(2, "t"), 2),
+            )
         assertEquals(listOf(2), placed.map { it.job })
     }
 
@@ -308,52 +324,52 @@
             "rule \"beside\" for all { must machine runs class \"b\" }                                            | ",
         ],
     )
-    fun `the rules that no machine could ever meet are named`(rules: String, expected: String?) {
-        // A name pattern may still give a machine that is to come the label, and something may run there by then.
-        val s = Setting(rules, "a")
-        assertEquals(expected.orEmpty(), s.book.forbidding(s.spec(1, "q")).joinToString(" ") { it.name })
+    fun `rules that no machine can ever satisfy are reported`(rules: String, expected: String?) {
+        // A future machine may match a name pattern of the label, and a task of the class may run there, so these rules are not reported.
+        val fixture = RulesFixture(rules, "a")
+        assertEquals(expected.orEmpty(), fixture.book.forbidding(fixture.spec(1, "q")).joinToString(" ") { it.name })
     }
 
-    /** With one slot a machine, a round under rules is one assignment: the reference tries them all, by names. */
+    /** With one slot per machine, a round under rules is one assignment, which is compared with an exhaustive search. */
     @Property(tries = 300, seed = "3")
-    fun `no barred cell, and the optimum`(
+    fun `no rule is violated and the assignment is optimal`(
         @ForAll("cases") case: Case,
     ) {
-        val s = Setting(case.rules, case.racks, spotEvery = 2)
-        val reference = ReferenceModel(s.set)
-        val tasks = case.classes.mapIndexed { i, c -> s.spec(i + 1, c) }
-        val beside =
+        val fixture = RulesFixture(case.rules, case.racks, spotEvery = 2)
+        val reference = ReferenceModel(fixture.set)
+        val tasks = case.classes.mapIndexed { i, c -> fixture.spec(i + 1, c) }
+        val runningThere =
             case.racks.indices.map { m ->
-                case.running[m].takeIf { it.isNotEmpty() }?.let { listOf(s.spec(100 + m, it)) }.orEmpty()
+                case.running[m].takeIf { it.isNotEmpty() }?.let { listOf(fixture.spec(100 + m, it)) }.orEmpty()
             }
         val cost =
             tasks.map { spec ->
                 case.racks.indices.map { m ->
-                    val verdicts = reference.judge(spec, s.box(m), beside[m], listOf(s.box(m)))
+                    val verdicts = reference.judge(spec, fixture.machineSpec(m), runningThere[m], listOf(fixture.machineSpec(m)))
                     val weights =
-                        s.set.rules
+                        fixture.set.rules
                             .filter {
                                 RuleBook.matches(it.who, org.honeyjunction.core.rules.Shape(spec))
                             }.flatMap { it.clauses }
                             .map { it.weight }
-                    // Rules of what runs there may be broken by the newcomer; here only "must ... runs class b" could, and
-                    // class b runs under no such rule.
-                    val others =
-                        beside[m].any { o ->
+                    // The new task may also violate rules of the running tasks. Of these rules only "must ... runs class b" could be
+                    // violated, and no such rule applies to class b itself.
+                    val breaksRunning =
+                        runningThere[m].any { o ->
                             reference
                                 .judge(
                                     o,
-                                    s.box(m),
+                                    fixture.machineSpec(m),
                                     emptyList(),
-                                    listOf(s.box(m)),
-                                ).zip(reference.judge(o, s.box(m), listOf(spec), listOf(s.box(m))))
+                                    listOf(fixture.machineSpec(m)),
+                                ).zip(reference.judge(o, fixture.machineSpec(m), listOf(spec), listOf(fixture.machineSpec(m))))
                                 .any { (x, y) ->
                                     x.must &&
                                         x.met &&
                                         !y.met
                                 }
                         }
-                    if (others || verdicts.any { it.must && !it.met }) {
+                    if (breaksRunning || verdicts.any { it.must && !it.met }) {
                         null
                     } else {
                         (if (case.cached[m]) 0.0 else 3.0) +
@@ -361,23 +377,23 @@
                     }
                 }
             }
-        val capacities = case.racks.indices.map { s.capacity(it, beside[it], case.cached[it]) }
-        val placed = s.place(capacities, tasks.flatMapIndexed { i, spec -> s.rows(spec, i + 1) })
-        val bars = placed.filter { cost[it.job - 1][it.machine] == null }
-        assertTrue(bars.isEmpty(), "barred: $bars in ${case.rules}")
-        // Rows are cut to twice the slots that some row may use; where that cuts any, the round need not see the best.
+        val capacities = case.racks.indices.map { fixture.capacity(it, runningThere[it], case.cached[it]) }
+        val placed = fixture.place(capacities, tasks.flatMapIndexed { i, spec -> fixture.rows(spec, i + 1) })
+        val violations = placed.filter { cost[it.job - 1][it.machine] == null }
+        assertTrue(violations.isEmpty(), "violated: $violations in ${case.rules}")
+        // Rows are pruned to twice the number of usable slots; if that drops rows, the round may miss the optimum.
         if (cost.count { row -> row.any { it != null } } > 2 * case.racks.indices.count { m -> cost.any { it[m] != null } }) return
-        val (most, least) = best(cost, 0, 0)
-        assertEquals(most, placed.size, "as many as there can be: ${case.rules} ${case.racks} ${case.classes}")
+        val (maxPlaced, minCost) = best(cost, 0, 0)
+        assertEquals(maxPlaced, placed.size, "as many tasks as possible: ${case.rules} ${case.racks} ${case.classes}")
         assertEquals(
-            least,
+            minCost,
             placed.sumOf { cost[it.job - 1][it.machine]!! },
             1e-6,
             "${case.rules} ${case.racks} ${case.classes} ${case.running}",
         )
     }
 
-    /** The most tasks that can be placed, and the least cost of so many. */
+    /** The maximum number of placed tasks, and the minimum cost of placing that many. */
     private fun best(cost: List<List<Double?>>, task: Int, used: Int): Pair<Int, Double> {
         if (task == cost.size) return 0 to 0.0
         var best = best(cost, task + 1, used)
