--- a/src/main/kotlin/org/honeyjunction/app/FollowerRounds.kt
+++ b/src/main/kotlin/org/honeyjunction/app/FollowerRounds.kt
@@ -29,7 +29,7 @@
             }
             try {
                 val planRequestedAt = node.admission.beginPlanRequest()
-                when (val response = leader.ask(summaryRequest(), node.tuning.summaryMs + RESPONSE_MS)) {
+                when (val response = leader.ask(summaryRequest(), node.tuning.summaryWaitMs + RESPONSE_MS)) {
                     is PeerMessage.SummaryResponse -> {
                         apply(response, planRequestedAt)
                         delay(place(response, leader))
@@ -67,7 +67,7 @@
     /** Sends what this node proposes to [leader]; the milliseconds until the next round. */
     private suspend fun place(response: PeerMessage.SummaryResponse, leader: PeerClient): Long {
         val proposals = round.place(response.summary)
-        if (proposals.isEmpty()) return node.tuning.roundMs
+        if (proposals.isEmpty()) return node.tuning.placementIntervalMs
         leader.ask(PeerMessage.PlacementProposals(response.term, proposals), RESPONSE_MS)
         return AFTER_PROPOSALS_MS
     }
--- a/src/main/kotlin/org/honeyjunction/app/LeaderDriver.kt
+++ b/src/main/kotlin/org/honeyjunction/app/LeaderDriver.kt
@@ -56,11 +56,11 @@
     private val pendingCancellations = HashMap<String, MutableList<CompletableDeferred<JobStage>>>()
 
     /** This node is certain to be the only leader: what it has in memory can't be older than what any other node knows. */
-    val holdsLease: Boolean get() = scope.isActive && leader.isAllowedToAct(clock.steady(), withinLease = true)
+    val holdsLease: Boolean get() = scope.isActive && leader.mayExecute(clock.steady(), needsLease = true)
 
     /** Starts the term's work; jobs are followed from the revision [jobsFrom]. */
     fun start(jobsFrom: Long) {
-        leader.leaseRenewed(term.validUntil, clock.steady())
+        leader.leaderLeaseRenewed(term.validUntil, clock.steady())
         launchInTerm("the leader's tick") { tickPeriodically() }
         launchInTerm("following jobs") { JobFollower(context, state).followJobs(jobsFrom) }
         launchInTerm("listing machines") { instances.listMachines() }
@@ -86,7 +86,7 @@
 
     /** The leader lease is valid until [until]. */
     fun leaseRenewed(until: Long) {
-        leader.leaseRenewed(until, clock.steady())
+        leader.leaderLeaseRenewed(until, clock.steady())
         executeEffects()
     }
 
@@ -111,7 +111,7 @@
             is Effect.ScaleIn -> launchInTerm("scaling in") { instances.scaleIn(effect) }
             is Effect.ReadJobRecord -> launchInTerm("reading the record of ${effect.job}") { records.read(effect.job) }
             is Effect.CancellationConfirmed -> completeCancellations(effect)
-            is Effect.LogEvent -> log.info("{}: {}", effect.event, effect.what)
+            is Effect.LogEvent -> log.info("{}: {}", effect.event, effect.message)
             is Effect.StepDown -> onTermLost(effect.reason)
         }
     }
--- a/src/main/kotlin/org/honeyjunction/app/OperatorSettings.kt
+++ b/src/main/kotlin/org/honeyjunction/app/OperatorSettings.kt
@@ -32,15 +32,15 @@
         val defaults = Tuning()
         val rules = settings.given("rules")
         return defaults.copy(
-            roundMs = settings.ms("round_ms", defaults.roundMs),
-            summaryMs = settings.ms("summary_ms", defaults.summaryMs),
-            capacityMs = settings.ms("capacity_ms", defaults.capacityMs),
+            placementIntervalMs = settings.ms("round_ms", defaults.placementIntervalMs),
+            summaryWaitMs = settings.ms("summary_ms", defaults.summaryWaitMs),
+            capacityPlanIntervalMs = settings.ms("capacity_ms", defaults.capacityPlanIntervalMs),
             idleMs = settings.ms("idle_ms", defaults.idleMs),
             spareFactor = settings.number("spare_factor", defaults.spareFactor),
             forecastMs = settings.ms("forecast_ms", defaults.forecastMs),
             preemptAfterMs = settings.ms("preempt_after_ms", defaults.preemptAfterMs),
-            refusalMs = settings.ms("refusal_ms", defaults.refusalMs),
-            lapseMs = settings.ms("lapse_ms", defaults.lapseMs),
+            refusedOfferBackoffMs = settings.ms("refusal_ms", defaults.refusedOfferBackoffMs),
+            ownerTimeoutMs = settings.ms("lapse_ms", defaults.ownerTimeoutMs),
             leaseMs = settings.ms("lease_ms", defaults.leaseMs),
             maxTasks = settings.ms("max_tasks", defaults.maxTasks.toLong()).toInt(),
             rules = rules?.given("on")?.booleanValue() ?: defaults.rules,
--- a/src/main/kotlin/org/honeyjunction/app/PeerLeaseConfirmation.kt
+++ b/src/main/kotlin/org/honeyjunction/app/PeerLeaseConfirmation.kt
@@ -37,7 +37,7 @@
         var announced = false
         while (true) {
             val askedAt = clock.steady()
-            if (!announced || !driver.leader.holdsTermLease(askedAt)) {
+            if (!announced || !driver.leader.holdsLeaderLease(askedAt)) {
                 try {
                     val confirmation = peer.ask(PeerMessage.TermConfirmationRequest(node, driver.term.number), RESPONSE_MS)
                     if (confirmation is PeerMessage.TermConfirmation) {
@@ -56,7 +56,7 @@
         if (confirmation.term > driver.term.number) {
             laterTermObserved(confirmation.term, confirmation.leader)
         } else {
-            driver.leader.termConfirmed(peer, askedAt, confirmation.uptimeMs, clock.steady())
+            driver.leader.peerConfirmed(peer, askedAt, confirmation.uptimeMs, clock.steady())
         }
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/PeerRequests.kt
+++ b/src/main/kotlin/org/honeyjunction/app/PeerRequests.kt
@@ -45,7 +45,7 @@
 
     /** Answers as soon as there is something to place, so that a new job need not wait for the next request. */
     private suspend fun summaryFor(driver: LeaderDriver, peer: String): Summary {
-        val until = clock.steady() + node.tuning.summaryMs
+        val until = clock.steady() + node.tuning.summaryWaitMs
         while (true) {
             val summary = driver.leader.summaryFor(peer, clock.steady())
             if (summary.rows.isNotEmpty() || clock.steady() >= until || leadership.driver !== driver) return summary
--- a/src/main/kotlin/org/honeyjunction/app/Settings.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Settings.kt
@@ -88,11 +88,11 @@
                 within("params") { zones(params) },
                 within("params") { each(params.list("teams"), "teams", ::team) },
                 leaseMs = within(WORKERS) { millis(workers, "lease_s") },
-                reportMs = within(WORKERS) { millis(workers, "report_s") },
+                heartbeatIntervalMs = within(WORKERS) { millis(workers, "report_s") },
                 cancelMs = within(WORKERS) { millis(workers, "cancel_s") },
                 pageBytes = within(STATE) { pageBytes(state) },
-                pageGapMs = within(STATE) { pageGapMs(state) },
-                maxSends = (sockets * SENDS_SHARE).toInt().coerceAtLeast(1),
+                pageWriteIntervalMs = within(STATE) { pageGapMs(state) },
+                maxCommandsInFlight = (sockets * SENDS_SHARE).toInt().coerceAtLeast(1),
                 startWithinS = within("params") { startWithinS(params) },
             )
 
--- a/src/main/kotlin/org/honeyjunction/app/WarmUp.kt
+++ b/src/main/kotlin/org/honeyjunction/app/WarmUp.kt
@@ -60,7 +60,7 @@
         val jobs = JobKind.entries.mapIndexed { i, kind -> StoredJob(exampleJob(i, kind), settings.node, 0, 1, JobStage.ACTIVE) }
         val recovered = RecoveredState(jobs, listOf(examplePage()), emptyList())
         val leader = Leader(cluster, Tuning(), 1, settings.node, recovered, 0, 0, 1_000)
-        leader.leaseRenewed(Long.MAX_VALUE, 0)
+        leader.leaderLeaseRenewed(Long.MAX_VALUE, 0)
         for (step in 1L..STEPS) leadStep(leader, step, now = step * STEP_MS)
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/leader/ChangeEncoder.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/ChangeEncoder.kt
@@ -24,9 +24,9 @@
     /** [inPlace]: a terminal record is written over the record of the active job. */
     fun writes(change: Change, inPlace: Boolean): List<Write> =
         when (change) {
-            is Change.JournalPage -> listOf(Write(Keys.page(change.record.page), JournalPageCodec.write(change.record, change.write)))
+            is Change.JournalPage -> listOf(Write(Keys.page(change.record.page), JournalPageCodec.write(change.record, change.writeId)))
             is Change.MachineCheckpoints -> listOf(Write(Keys.hints(change.page), CheckpointCodec.writeMachines(change.machines)))
-            is Change.Checkpoint -> listOf(Write(Keys.MARKS, CheckpointCodec.writeLeader(change.marks)))
+            is Change.Checkpoint -> listOf(Write(Keys.MARKS, CheckpointCodec.writeLeader(change.checkpoint)))
             is Change.JobFinished -> terminalRecord(change, inPlace)
         }
 
--- a/src/main/kotlin/org/honeyjunction/app/leader/CommandSender.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/CommandSender.kt
@@ -12,7 +12,7 @@
 /** Sends a leader's commands to the workers, and reports their responses to it. */
 internal class CommandSender(private val context: TermContext, loop: EventLoop) {
     private val log = LoggerFactory.getLogger(CommandSender::class.java)
-    private val connections = Connections(loop, context.leader.state.cluster.maxSends, perAddress = 1)
+    private val connections = Connections(loop, context.leader.state.cluster.maxCommandsInFlight, perAddress = 1)
 
     suspend fun sendCommands(effect: Effect.Send) {
         val leader = context.leader
--- a/src/main/kotlin/org/honeyjunction/app/leader/CommitExecutor.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/CommitExecutor.kt
@@ -91,7 +91,7 @@
         while (true) {
             try {
                 val entry = state.get(Keys.page(page.record.page))
-                val applied = JournalPageCodec.writeNumber(entry.value) == page.write
+                val applied = JournalPageCodec.writeNumber(entry.value) == page.writeId
                 return if (applied) CommitOutcome.Applied(entry.version) else CommitOutcome.Failed(entry.version)
             } catch (e: IOException) {
                 log.debug("reading a journal page: {}", e.message)
--- a/src/main/kotlin/org/honeyjunction/app/leader/TermContext.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/TermContext.kt
@@ -26,5 +26,5 @@
     /**
      * To be asked again at the last moment before a request is sent: this process may have been suspended since the decision.
      */
-    fun mayStillAct(withinLease: Boolean): () -> Boolean = { scope.isActive && leader.isAllowedToAct(clock.steady(), withinLease) }
+    fun mayStillAct(withinLease: Boolean): () -> Boolean = { scope.isActive && leader.mayExecute(clock.steady(), withinLease) }
 }
--- a/src/main/kotlin/org/honeyjunction/app/local/LocalSettings.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/LocalSettings.kt
@@ -127,7 +127,7 @@
             types,
             machines,
             FakeWorker.Timing(sample.cluster.leaseMs, (w.amount("gang_wait_s") * 1000).toLong(), (w.amount("gang_peer_s") * 1000).toLong()),
-            sample.cluster.reportMs,
+            sample.cluster.heartbeatIntervalMs,
             sample.cluster.cancelMs,
             FakeKeyValueStore.Limits(
                 s.amount("rps"),
--- a/src/main/kotlin/org/honeyjunction/app/local/VirtualCluster.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/VirtualCluster.kt
@@ -90,7 +90,7 @@
         val job = state.job(id) ?: return ", not known to the leader"
         val machines =
             state.machines.filter { it.usable }.joinToString {
-                val room = "${it.name} in ${it.zone} ${state.room(it).gpus} free"
+                val room = "${it.name} in ${it.zone} ${state.freeCapacity(it).gpus} free"
                 "$room, takes more: ${it.acceptsTasks}, held for ${it.reservedForAt(state.now)}"
             }
         return ": ${job.spec.kind} of ${job.spec.tasks}, needs ${job.spec.need}, waiting ${job.waiting.cardinality()}, placed " +
--- a/src/main/kotlin/org/honeyjunction/core/control/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/autoscaling/Autoscaler.kt
@@ -85,11 +85,11 @@
     }
 
     private fun reserve(plan: CapacityPlan, now: Long) {
-        val until = now + RESERVATION_PERIODS * state.tuning.capacityMs
+        val until = now + RESERVATION_PERIODS * state.tuning.capacityPlanIntervalMs
         // Idle work may use spare capacity, but not what others are expected to need before an instance could be rented.
         plan.reserved
             .mapNotNull(state::machineAt)
-            .filter { it.floorAt(now) < Priority.NORMAL }
+            .filter { it.minPriorityAt(now) < Priority.NORMAL }
             .forEach { it.reserveForPriority(Priority.NORMAL, until) }
         plan.held.forEach { (machine, job) -> state.machineAt(machine)?.reserveFor(job, until) }
     }
@@ -163,23 +163,23 @@
         Bin(
             machine.index,
             Offer(machine.type, machine.zone, machine.spot),
-            state.room(machine),
+            state.freeCapacity(machine),
             machine.placements.isEmpty(),
             queue.capacity.upcoming(machine, now),
-            state.scene(machine),
+            state.ruleContext(machine),
             zones.unresponsive(machine, now),
         )
 
     /** What placement rules see of an instance of [offer] without tasks and cached images. */
     private fun emptyScene(offer: Offer): RuleTable.Scene {
-        val place = state.book.offerPlace(offer.type, offer.zone, offer.spot)
+        val place = state.ruleBook.offerPlace(offer.type, offer.zone, offer.spot)
         return RuleTable.Scene(place, IntArray(0), IntArray(0))
     }
 
     private fun scaleOutPolicy(): ScaleOutPolicy? {
-        if (state.book.empty) return null
-        return ScaleOutPolicy(state.book.table, ::emptyScene) { shape, offer ->
-            state.book.mayRent(shape, offer.type, offer.zone, offer.spot)
+        if (state.ruleBook.empty) return null
+        return ScaleOutPolicy(state.ruleBook.table, ::emptyScene) { shape, offer ->
+            state.ruleBook.mayRent(shape, offer.type, offer.zone, offer.spot)
         }
     }
 
--- a/src/main/kotlin/org/honeyjunction/core/control/autoscaling/Consolidation.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/autoscaling/Consolidation.kt
@@ -41,7 +41,7 @@
     private fun settledReplica(placement: Placement, now: Long): Boolean =
         placement.task.job.spec.kind == JobKind.SERVICE &&
             placement.phase == Phase.RUNNING &&
-            now - placement.since > SETTLED_MS
+            now - placement.phaseSince > SETTLED_MS
 
     /** Whether all replicas on [machine] fit on other machines that cache their images: a move must not cost a fetch. */
     private fun fitsElsewhere(machine: Machine): Boolean {
@@ -67,7 +67,7 @@
                 job.image in target.images &&
                 target.placements.isNotEmpty() &&
                 zones shr target.zone and 1L != 0L &&
-                job.spec.need.fitsIn(free.getOrPut(target) { state.room(target) }) &&
+                job.spec.need.fitsIn(free.getOrPut(target) { state.freeCapacity(target) }) &&
                 state.violatedRule(job, placement.task, target) == null
         }
     }
--- a/src/main/kotlin/org/honeyjunction/core/control/autoscaling/InstanceMonitor.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/autoscaling/InstanceMonitor.kt
@@ -42,7 +42,7 @@
             MachinePhase.UNCONFIRMED, MachinePhase.UP, MachinePhase.SUSPECTED, MachinePhase.UNREACHABLE ->
                 failureDetector.shouldDeclareDead(machine, now)
             MachinePhase.DRAINING -> {
-                val noticeUntil = machine.noticeUntil
+                val noticeUntil = machine.spotReclaimAt
                 machine.placements.isEmpty() || noticeUntil != null && now > noticeUntil + state.cluster.leaseMs
             }
             MachinePhase.RELEASING, MachinePhase.GONE -> false
--- a/src/main/kotlin/org/honeyjunction/core/control/autoscaling/ScaleOutRequests.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/autoscaling/ScaleOutRequests.kt
@@ -52,12 +52,12 @@
             val undescribed = machine.phase == MachinePhase.BOOTING && machine.type < 0
             if (undescribed) state.describe(machine, null, request.effect.type, request.effect.zone, request.offer.spot)
         }
-        if (machines.size < request.effect.count) refusedUntil[request.offer] = now + state.tuning.refusalMs
+        if (machines.size < request.effect.count) refusedUntil[request.offer] = now + state.tuning.refusedOfferBackoffMs
     }
 
     fun refused(name: String, now: Long) {
         val request = requests.remove(name) ?: return
-        refusedUntil[request.offer] = now + state.tuning.refusalMs
+        refusedUntil[request.offer] = now + state.tuning.refusedOfferBackoffMs
     }
 
     fun outcomeUnknown(name: String, now: Long) {
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/Explainer.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/Explainer.kt
@@ -67,7 +67,7 @@
             task = task.id,
             machine = null,
             decidedAt = null,
-            version = state.book.set.version,
+            version = state.ruleBook.set.version,
             rules = emptyList(),
             fairness = fairness(task.job),
             localityGb = 0.0,
@@ -84,7 +84,7 @@
             task = task.id,
             machine = machine.name,
             decidedAt = decidedAt,
-            version = state.book.table.version,
+            version = state.ruleBook.table.version,
             rules = lines,
             fairness = fairness(job),
             localityGb = localityGb,
@@ -98,8 +98,8 @@
         val job = task.job
         val lines = ArrayList<RuleLine>()
         if (job.shape < 0) return lines
-        val table = state.book.table
-        val scene = state.scene(machine, setOfNotNull(machine.placements[task.id]))
+        val table = state.ruleBook.table
+        val scene = state.ruleContext(machine, setOfNotNull(machine.placements[task.id]))
         table.clausesOf[job.shape].mapTo(lines) { ruleLine(it, table.holds(it, scene, commonPlace(job, it))) }
         table.unmet(job.shape, scene).filter { it.of != job.shape }.mapTo(lines) { ruleLine(it.clause, false) }
         return lines
@@ -107,7 +107,7 @@
 
     /** For "same": where most of the job's tasks are, by the label that the clause asks for. */
     private fun commonPlace(job: Job, clause: Int): List<Int> {
-        val table = state.book.table
+        val table = state.ruleBook.table
         if (!table.clauses[clause].same || job.placements.isEmpty()) return emptyList()
         val places = job.placements.map { it.machine.place }
         val most =
@@ -118,9 +118,9 @@
     }
 
     private fun ruleLine(index: Int, met: Boolean): RuleLine {
-        val clause = state.book.clause(index)
+        val clause = state.ruleBook.clause(index)
         val must = clause.weight == null
-        return RuleLine(state.book.rule(index).name, Printer.text(clause), must, met, clause.weight?.takeIf { !met })
+        return RuleLine(state.ruleBook.rule(index).name, Printer.text(clause), must, met, clause.weight?.takeIf { !met })
     }
 
     private fun localityGb(job: Job, machine: Machine): Double =
@@ -135,23 +135,23 @@
         if (!mayBeForbidden(job)) return null
         return state.machines
             .asSequence()
-            .filter { it.usable && state.isEligible(job, task, it) && job.spec.need.fitsIn(state.room(it)) }
+            .filter { it.usable && state.isEligible(job, task, it) && job.spec.need.fitsIn(state.freeCapacity(it)) }
             .mapNotNull { forbiddenAlternative(job, task, it) }
             .minByOrNull { it.costGb }
     }
 
     private fun forbiddenAlternative(job: Job, task: Task, machine: Machine): Alternative? {
         val breach = state.violatedRule(job, task, machine) ?: return null
-        val penaltyGb = state.book.table.penalty(job.shape, state.scene(machine), state.siblingPlaces(job, task))
-        val rule = state.book.rule(breach.clause).name
-        return Alternative(machine.name, localityGb(job, machine) + penaltyGb, rule, Printer.text(state.book.clause(breach.clause)))
+        val penaltyGb = state.ruleBook.table.penalty(job.shape, state.ruleContext(machine), state.siblingPlaces(job, task))
+        val rule = state.ruleBook.rule(breach.clause).name
+        return Alternative(machine.name, localityGb(job, machine) + penaltyGb, rule, Printer.text(state.ruleBook.clause(breach.clause)))
     }
 
     /** Whether some hard rule, the job's own or another's, may keep its tasks from a machine. */
     private fun mayBeForbidden(job: Job): Boolean {
         if (job.shape < 0) return false
-        val table = state.book.table
-        return table.clausesOf[job.shape].any { state.book.clause(it).weight == null } ||
+        val table = state.ruleBook.table
+        return table.clausesOf[job.shape].any { state.ruleBook.clause(it).weight == null } ||
             table.clauses.any { clause -> clause.must && clause.test.has { it is RuleTable.Expr.Runs && it.shapes[job.shape] } }
     }
 
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/FailureHandler.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/FailureHandler.kt
@@ -34,7 +34,7 @@
     private fun retryMs(placement: Placement, now: Long): Long {
         val fetchGbPerS = state.cluster.types[placement.machine.type]?.fetchGbPerS ?: 1.0
         val fetchMs = (placement.task.job.spec.imageGb / fetchGbPerS * 1000).toLong()
-        return (now - placement.since) * 2 + state.cluster.reportMs * 2 + fetchMs
+        return (now - placement.phaseSince) * 2 + state.cluster.heartbeatIntervalMs * 2 + fetchMs
     }
 
     private fun logFailing(job: Job) {
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/JobEstimates.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/JobEstimates.kt
@@ -15,7 +15,7 @@
  * expected to go on for [OVERRUN] of the time that it has run.
  */
 fun Placement.expectedRemainingS(now: Long): Double {
-    val ranS = if (phase == Phase.RUNNING) (now - since) / 1000.0 else 0.0
+    val ranS = if (phase == Phase.RUNNING) (now - phaseSince) / 1000.0 else 0.0
     return maxOf(task.job.spec.estimateS - ranS, ranS * OVERRUN)
 }
 
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/JobLifecycle.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/JobLifecycle.kt
@@ -56,13 +56,13 @@
         if (machine != null) failures.succeeded(job, machine, now)
         // The tasks of a gang complete together: one result is the result of all.
         val finished = if (job.spec.kind == JobKind.GANG) job.tasks.asList() else listOf(task)
-        finished.filter(job::finish).forEach(journal::add)
+        finished.filter(job::markDone).forEach(journal::add)
         if (job.unfinished == 0) recordsDue += job
     }
 
     /** A result that an earlier term has written. */
     fun restore(task: Task) {
-        if (!task.job.finish(task)) return
+        if (!task.job.markDone(task)) return
         task.doneDurable = true
         if (task.job.unfinished == 0) recordsDue += task.job
     }
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/MachineCapacity.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/MachineCapacity.kt
@@ -18,19 +18,19 @@
         val heldFor = state.reservedFor(machine, now)
         return FreeCapacity(
             machine = machine.index,
-            free = state.room(machine),
+            free = state.freeCapacity(machine),
             type = machine.type,
             zone = machine.zone,
             spot = machine.spot,
             images = machine.images.keys.toIntArray(),
-            floor = machine.floorAt(now),
+            floor = machine.minPriorityAt(now),
             fetchingGb = fetchingGb(machine, now),
             fetchGbPerS = state.cluster.types[machine.type]?.fetchGbPerS ?: 0.0,
             soon = upcoming,
             heldFor = heldFor?.index ?: NameTable.ABSENT,
             heldPriority = heldFor?.spec?.priority ?: Priority.LOW,
             place = machine.place,
-            running = state.running(machine),
+            running = state.runningShapes(machine),
         )
     }
 
@@ -47,7 +47,7 @@
     /** All machines that take work and have anything free. */
     fun allFree(now: Long): List<FreeCapacity> =
         openMachines()
-            .filter { machine -> state.room(machine).let { it.cpus > LEAST_ROOM && it.memoryGb > LEAST_ROOM } }
+            .filter { machine -> state.freeCapacity(machine).let { it.cpus > LEAST_ROOM && it.memoryGb > LEAST_ROOM } }
             .map { of(it, now) }
 
     /** When the tasks of [machine] that end by themselves are expected to end, and what they free. */
@@ -72,8 +72,8 @@
         state.machines.filter { it.acceptsTasks && it.address != null && it.type in state.cluster.types }
 
     private fun fitsAny(machine: Machine, demands: List<Wanted>, now: Long): Boolean {
-        val free = state.room(machine)
-        val floor = machine.floorAt(now)
+        val free = state.freeCapacity(machine)
+        val floor = machine.minPriorityAt(now)
         return demands.any { it.sample.allows(machine.type, machine.zone, machine.spot, floor, free) }
     }
 
@@ -93,7 +93,7 @@
         val rate = (state.cluster.types[machine.type]?.fetchGbPerS ?: 0.0) / fetches.size
         return fetches.sumOf { placement ->
             val imageGb = placement.task.job.spec.imageGb
-            val fetchedGb = if (placement.phase == Phase.FETCHING) (now - placement.since) / 1000.0 * rate else 0.0
+            val fetchedGb = if (placement.phase == Phase.FETCHING) (now - placement.phaseSince) / 1000.0 * rate else 0.0
             maxOf(imageGb - fetchedGb, imageGb * LEAST_LEFT)
         }
     }
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/PendingQueue.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/PendingQueue.kt
@@ -46,13 +46,19 @@
         val demands = demands(now, owner)
         if (demands.isEmpty()) return Summary(emptyList(), emptyList(), 0, emptyList())
         val usable = capacity.usableFor(demands, now)
-        val fitting = FirstFitEstimate(usable, state.book.table)
+        val fitting = FirstFitEstimate(usable, state.ruleBook.table)
         val selected = rows.select(demands, fitting, now, limit)
-        return Summary(fitting.bounded(usable, selected, MAX_ROOMS), teams(), capacity.slots(), selected, state.book.table)
+        return Summary(fitting.bounded(usable, selected, MAX_ROOMS), teams(), capacity.slots(), selected, state.ruleBook.table)
     }
 
     /** Each team's weight, which follows from its guarantee, and its running tasks. */
-    fun teams(): List<TeamShare> = state.cluster.teams.mapIndexed { index, team -> TeamShare(weight(team.guarantee), state.running(index)) }
+    fun teams(): List<TeamShare> =
+        state.cluster.teams.mapIndexed {
+            index,
+            team,
+            ->
+            TeamShare(weight(team.guarantee), state.placementCount(index))
+        }
 
     private fun Job.isPending(now: Long) = !waiting.isEmpty && startable && notBefore <= now
 
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/PendingReasonReport.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/PendingReasonReport.kt
@@ -27,7 +27,7 @@
         if (gang && job.placements.isNotEmpty()) reasons += "tasks of an earlier attempt are not known to be gone"
         val team = state.cluster.teams[job.team]
         val need = if (gang) job.spec.need * job.unfinished else job.spec.need
-        if (!team.allows(state.usage(job.team) + need)) reasons += "team ${team.name} is at its limit"
+        if (!team.withinLimit(state.usage(job.team) + need)) reasons += "team ${team.name} is at its limit"
     }
 
     private fun retryReason(job: Job, now: Long): String? {
@@ -47,7 +47,7 @@
         val machines = state.machines.filter { it.phase < MachinePhase.RELEASING }
         val up = machines.filter { it.usable }
         val eligible = up.filter { state.isEligible(job, task, it) }
-        val (roomy, full) = eligible.partition { job.spec.need.fitsIn(state.room(it)) }
+        val (roomy, full) = eligible.partition { job.spec.need.fitsIn(state.freeCapacity(it)) }
         if (up.isEmpty()) reasons += "no machine is up"
         if (up.size > eligible.size) {
             reasons += "${up.size - eligible.size} machines are of a type, zone or kind that the job does not allow"
@@ -64,18 +64,18 @@
 
     private fun forbiddenByRule(task: Task, machines: List<Machine>): Map<String, Int> =
         machines
-            .mapNotNull { machine -> state.violatedRule(task.job, task, machine)?.let { state.book.rule(it.clause).name } }
+            .mapNotNull { machine -> state.violatedRule(task.job, task, machine)?.let { state.ruleBook.rule(it.clause).name } }
             .groupingBy { it }
             .eachCount()
 
     /** Why a task waits although the machines [free] have room for it. */
     private fun freeRoomReason(job: Job, free: List<Machine>): String {
         val gang = job.spec.kind == JobKind.GANG
-        val fitting = free.sumOf { job.spec.need.countIn(state.room(it)) }
+        val fitting = free.sumOf { job.spec.need.countIn(state.freeCapacity(it)) }
         return when {
             gang && fitting < job.unfinished ->
                 "of ${job.unfinished} tasks of the gang only $fitting have room at once"
-            gang && state.book.table.asksSame(job.shape) -> {
+            gang && state.ruleBook.table.asksSame(job.shape) -> {
                 val waitS = state.tuning.cost.patienceMs / 1000.0
                 "it may wait up to $waitS s for places that meet its preferences"
             }
@@ -87,9 +87,9 @@
     private fun noScaleOutReason(job: Job): String? {
         if (job.shape < 0 || mayScaleOut(job)) return null
         val rules =
-            state.book.table.clausesOf[job.shape]
-                .filter { state.book.clause(it).weight == null }
-                .map { "rule \"${state.book.rule(it).name}\"" }
+            state.ruleBook.table.clausesOf[job.shape]
+                .filter { state.ruleBook.clause(it).weight == null }
+                .map { "rule \"${state.ruleBook.rule(it).name}\"" }
                 .distinct()
                 .joinToString()
         return "no machine is rented for it, since no new one would certainly meet $rules"
@@ -98,7 +98,9 @@
     private fun mayScaleOut(job: Job): Boolean =
         state.cluster.types.entries.filter { job.spec.mayUse(it.value) }.any { (index, type) ->
             type.zones.any { zone ->
-                state.book.mayRent(job.shape, index, zone, false) || job.spec.spot && state.book.mayRent(job.shape, index, zone, true)
+                state.ruleBook.mayRent(job.shape, index, zone, false) ||
+                    job.spec.spot &&
+                    state.ruleBook.mayRent(job.shape, index, zone, true)
             }
         }
 
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/TaskDispatcher.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/TaskDispatcher.kt
@@ -85,11 +85,11 @@
             machine.acceptsTasks &&
             machine.address != null &&
             !isHeldFromJob(machine, job, now) &&
-            job.spec.priority >= machine.floorAt(now) &&
+            job.spec.priority >= machine.minPriorityAt(now) &&
             state.isEligible(job, task, machine) &&
             state.violatedRule(job, task, machine) == null &&
-            job.spec.need.fitsIn(state.room(machine)) &&
-            state.cluster.teams[job.team].allows(state.usage(job.team) + job.spec.need)
+            job.spec.need.fitsIn(state.freeCapacity(machine)) &&
+            state.cluster.teams[job.team].withinLimit(state.usage(job.team) + job.spec.need)
 
     private fun isHeldFromJob(machine: Machine, job: Job, now: Long): Boolean {
         val heldFor = state.reservedFor(machine, now) ?: return false
@@ -113,7 +113,7 @@
     /** Sends what is due without deciding anything: past the leader lease, that is stops alone. */
     fun sendDue(machines: Collection<Machine>, now: Long) {
         // Unanswered messages are bounded: after a mass failure those with the most urgent starts go first.
-        val allMayBeSent = unanswered.size + machines.size <= state.cluster.maxSends
+        val allMayBeSent = unanswered.size + machines.size <= state.cluster.maxCommandsInFlight
         val ordered = if (allMayBeSent) machines else machines.sortedByDescending { urgency(it) }
         for (machine in ordered) send(machine, now)
     }
@@ -132,10 +132,10 @@
     private fun dropStaleReservations(machine: Machine, now: Long) {
         if (machine.placements.values.none { it.phase <= Phase.RECORDED }) return
         for (placement in machine.placements.values.toList()) {
-            if (placement.phase > Phase.RECORDED || placement.gone) continue
+            if (placement.phase > Phase.RECORDED || placement.removed) continue
             // Counted anew from the record on: a start whose record took long to write must not be dropped for that, only to
             // be written again.
-            val late = now - placement.since > RESERVATION_MS
+            val late = now - placement.phaseSince > RESERVATION_MS
             if (late || placement.stopping || !placement.task.job.startable || !machine.usable) drop(placement, now)
         }
     }
@@ -149,15 +149,15 @@
 
     private fun send(machine: Machine, now: Long) {
         val address = machine.address ?: return
-        if (machine.commandBusy || now < machine.nextCommandAt || machine.phase == MachinePhase.GONE) return
+        if (machine.commandInFlight || now < machine.nextCommandAt || machine.phase == MachinePhase.GONE) return
         // A new leader shows its fencing token itself: from then on nobody else's answers renew leases there.
         val unfenced = !machine.lease.fenced && (machine.lease.session > 0 || machine.phase == MachinePhase.UNCONFIRMED)
-        if (machine.placements.isEmpty() && !unfenced || unanswered.size >= state.cluster.maxSends) return
+        if (machine.placements.isEmpty() && !unfenced || unanswered.size >= state.cluster.maxCommandsInFlight) return
         val starts = ArrayList<Placement>()
         val commands = dueCommands(machine, now, starts)
         if (commands.isEmpty() && !unfenced) return
         val id = state.nextSequence()
-        machine.commandBusy = true
+        machine.commandInFlight = true
         for (placement in starts) {
             placement.enter(Phase.SENT, now)
             // Until an answer or an acknowledged higher token, the start may still be executed.
@@ -220,7 +220,7 @@
 
     private fun take(id: Long): Message? {
         val message = unanswered.remove(id) ?: return null
-        message.machine.commandBusy = false
+        message.machine.commandInFlight = false
         state.machinesToSendTo += message.machine
         return message
     }
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/TaskRows.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/TaskRows.kt
@@ -40,7 +40,7 @@
             task = task.number,
             waitingMs = now - task.waitingSince,
             zones = state.openZones(job, null) and offeredZones(job),
-            oneZone = (job.spec.oneZone || state.book.mustShareZone(job.shape)) && severalTasks,
+            oneZone = (job.spec.oneZone || state.ruleBook.mustShareZone(job.shape)) && severalTasks,
             gangOf = if (job.spec.kind == JobKind.GANG) job.waiting.cardinality() else 0,
             guaranteed = job.guaranteed,
             zoneRoom = if (job.spec.spread && severalTasks) state.openPerZone(job) else null,
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/TeamQuota.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/TeamQuota.kt
@@ -29,8 +29,8 @@
     /** How many of [pending] tasks of [job], which is no gang, the limit allows. */
     fun allowedTasks(job: Job, pending: Int): Int {
         val use = useBeside(job)
-        if (team.allows(use + job.spec.need * pending)) return pending
-        return largestCount(pending) { team.allows(use + job.spec.need * it) }
+        if (team.withinLimit(use + job.spec.need * pending)) return pending
+        return largestCount(pending) { team.withinLimit(use + job.spec.need * it) }
     }
 
     /**
@@ -38,7 +38,7 @@
      * a gang before it has that already: otherwise the next task of an array would take each part that gets free, for ever.
      */
     fun allowsGang(gang: Job, pending: Int): Boolean {
-        if (team.allows(useBeside(gang) + gang.spec.need * pending)) return true
+        if (team.withinLimit(useBeside(gang) + gang.spec.need * pending)) return true
         if (reservedForS == 0.0) reserveFor(gang)
         return false
     }
@@ -70,10 +70,10 @@
     private fun expectedStartS(gang: Job): Double? {
         val need = gang.spec.need * gang.unfinished
         var use = admitted
-        if (team.allows(use + need)) return 0.0
+        if (team.withinLimit(use + need)) return 0.0
         for ((endsInS, freed) in expectedEnds) {
             use -= freed
-            if (team.allows(use + need)) return endsInS
+            if (team.withinLimit(use + need)) return endsInS
         }
         return null
     }
@@ -115,7 +115,7 @@
         val use = HashMap<Int, Resources>()
         for (job in state.active.values.sortedBy { it.createdAt }) {
             val sum = use.getOrDefault(job.team, Resources.NONE) + job.spec.need * job.spec.tasks
-            job.guaranteed = state.cluster.teams[job.team].guarantees(sum)
+            job.guaranteed = state.cluster.teams[job.team].withinGuarantee(sum)
             use[job.team] = sum
         }
     }
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/WorkConservationMonitor.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/WorkConservationMonitor.kt
@@ -74,9 +74,9 @@
     private fun findPendingBesideRoom(free: List<FreeCapacity>, now: Long): Map<Int, Finding> {
         val demands = queue.demands(now)
         val found = HashMap<Int, Finding>()
-        val asHeld = FirstFitEstimate(free, state.book.table, skipFetching = true)
+        val asHeld = FirstFitEstimate(free, state.ruleBook.table, skipFetching = true)
         // As if nothing were held or kept for a priority: what fits only then is reported, though it is meant to wait.
-        val asIfOpen = FirstFitEstimate(free.map { it.unreserved() }, state.book.table, skipFetching = true)
+        val asIfOpen = FirstFitEstimate(free.map { it.unreserved() }, state.ruleBook.table, skipFetching = true)
         for (demand in demands) {
             val fits = asHeld.take(demand.sample, demand.count)
             val job = state.jobAt(demand.sample.job) ?: continue
@@ -102,7 +102,7 @@
                 room.machine to (before ?: FreeSince(room.free, now))
             }
         freeSince = current
-        return rooms.filter { now - current.getValue(it.machine).since >= state.tuning.roundMs * ROUNDS }
+        return rooms.filter { now - current.getValue(it.machine).since >= state.tuning.placementIntervalMs * ROUNDS }
     }
 
     private fun holdOrFloor(sample: TaskRow, rooms: List<FreeCapacity>): PendingReason {
@@ -130,7 +130,7 @@
     private fun toleratedMs(job: Job): Long {
         val slowestGbPerS = state.cluster.types.values.minOfOrNull { it.fetchGbPerS } ?: return Long.MAX_VALUE
         val fetchMs = (job.spec.imageGb / slowestGbPerS * 1000).toLong()
-        return state.tuning.roundMs * ROUNDS + fetchMs
+        return state.tuning.placementIntervalMs * ROUNDS + fetchMs
     }
 
     /** How many tasks are pending beside room, by what keeps them. */
--- a/src/main/kotlin/org/honeyjunction/core/control/journal/CheckpointWriter.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/journal/CheckpointWriter.kt
@@ -82,7 +82,7 @@
 
     /** Goes round the pages; one that is as it was written before is not written again. */
     private fun writeNextMachinePage(now: Long) {
-        nextMachinePageAt = now + state.cluster.pageGapMs * GAPS
+        nextMachinePageAt = now + state.cluster.pageWriteIntervalMs * GAPS
         val known = state.machines.filter { it.phase in KNOWN && it.address != null && it.type != NameTable.ABSENT }
         val perPage = maxOf(1, state.cluster.pageBytes / MACHINE_BYTES)
         machinePages = maxOf(machinePages, (known.size + perPage - 1) / perPage)
--- a/src/main/kotlin/org/honeyjunction/core/control/journal/JournalPages.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/journal/JournalPages.kt
@@ -43,7 +43,7 @@
 
     /** Drops the entries that are not needed any more, and returns an upper bound of the bytes that the others take. */
     fun compact(): Int {
-        starts.removeIf { it.gone }
+        starts.removeIf { it.removed }
         results.removeIf { it.job.stage != JobStage.ACTIVE }
         val size = StartsSize()
         starts.forEach(size::add)
--- a/src/main/kotlin/org/honeyjunction/core/control/journal/PlacementJournal.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/journal/PlacementJournal.kt
@@ -79,11 +79,11 @@
 
     /** Writes one page, if anything is due and the rate of writes allows it. */
     fun flush(now: Long) {
-        startsDue.removeIf { it.gone || it.phase != Phase.RESERVED }
+        startsDue.removeIf { it.removed || it.phase != Phase.RESERVED }
         resultsDue.removeIf { it.job.terminalRecord.state != TerminalRecord.State.OPEN }
         if (startsDue.isEmpty() && resultsDue.isEmpty()) return
         if (now < nextWriteAt || pages.count { it.busy } >= MAX_BUSY) return
-        nextWriteAt = now + state.cluster.pageGapMs
+        nextWriteAt = now + state.cluster.pageWriteIntervalMs
         results.keys.removeIf { it.stage != JobStage.ACTIVE }
         write(emptiestPage())
     }
@@ -108,7 +108,7 @@
                 is CommitOutcome.Applied -> {
                     page.version = outcome.version
                     page.starts += newStarts
-                    newStarts.forEach { if (!it.gone && it.phase == Phase.RESERVED) it.enter(Phase.RECORDED, state.now) }
+                    newStarts.forEach { if (!it.removed && it.phase == Phase.RESERVED) it.enter(Phase.RECORDED, state.now) }
                     written.forEach { (window, numbers) -> markDurable(window, numbers, page) }
                 }
                 // Either content may be the durable one: what was there before is in both, the rest is written again.
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/ClusterState.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/ClusterState.kt
@@ -52,7 +52,7 @@
     val leaseValidUntil get() = if (leaseGuard.state == LeaseGuard.State.RESUMED_EXPIRED) Long.MIN_VALUE else leaseGuard.validUntil
 
     /** The rules in force. */
-    var book = RuleBook(cluster, RuleSet.NONE)
+    var ruleBook = RuleBook(cluster, RuleSet.NONE)
         private set
 
     /** The lowest fencing token of this term. */
@@ -86,7 +86,7 @@
                 now - age,
             )
         job.version = stored.version
-        job.shape = book.shape(job.spec)
+        job.shape = ruleBook.shape(job.spec)
         job.enter(stored.stage)
         jobs.add(job)
         if (stored.stage == JobStage.ACTIVE) jobs.activate(job) else forgetLater(job, now)
@@ -138,27 +138,27 @@
         // No task can be started in a zone that the settings do not define.
         machine.zone = cluster.zones.find(zone)
         machine.spot = spot
-        machine.place = book.place(machine.name, machine.type, machine.zone, spot)
+        machine.place = ruleBook.place(machine.name, machine.type, machine.zone, spot)
     }
 
     /** From now on starts obey [rules]; running tasks are not stopped. */
     fun useRules(rules: RuleSet) {
-        book = RuleBook(cluster, rules)
-        jobs.forEach { it.shape = book.shape(it.spec) }
-        machines.forEach { it.place = book.place(it.name, it.type, it.zone, it.spot) }
+        ruleBook = RuleBook(cluster, rules)
+        jobs.forEach { it.shape = ruleBook.shape(it.spec) }
+        machines.forEach { it.place = ruleBook.place(it.name, it.type, it.zone, it.spot) }
     }
 
     /** [machine] as the rules see it, without the placements in [leaving]. */
-    fun scene(machine: Machine, leaving: Set<Placement> = emptySet()): RuleTable.Scene =
-        if (book.empty) {
+    fun ruleContext(machine: Machine, leaving: Set<Placement> = emptySet()): RuleTable.Scene =
+        if (ruleBook.empty) {
             RuleTable.Scene.NOWHERE
         } else {
-            RuleTable.Scene(machine.place, running(machine, leaving), machine.images.keys.toIntArray())
+            RuleTable.Scene(machine.place, runningShapes(machine, leaving), machine.images.keys.toIntArray())
         }
 
     /** The shapes of the tasks that are or may be on [machine], without those in [leaving]. */
-    fun running(machine: Machine, leaving: Set<Placement> = emptySet()): IntArray =
-        if (book.empty) {
+    fun runningShapes(machine: Machine, leaving: Set<Placement> = emptySet()): IntArray =
+        if (ruleBook.empty) {
             RuleTable.Scene.NOWHERE.running
         } else {
             machine.placements.values
@@ -169,11 +169,11 @@
 
     /** The places of the job's other tasks than [task]; empty unless a rule needs them. */
     fun siblingPlaces(job: Job, task: Task?): List<Int> =
-        if (!book.table.asksSame(job.shape)) emptyList() else job.placements.filter { it.task !== task }.map { it.machine.place }
+        if (!ruleBook.table.asksSame(job.shape)) emptyList() else job.placements.filter { it.task !== task }.map { it.machine.place }
 
     /** The mandatory rule that forbids [task] of [job] to start on [machine] at this moment; null: none. */
     fun violatedRule(job: Job, task: Task?, machine: Machine): RuleTable.Breach? =
-        if (job.shape < 0) null else book.table.barred(job.shape, scene(machine), siblingPlaces(job, task))
+        if (job.shape < 0) null else ruleBook.table.barred(job.shape, ruleContext(machine), siblingPlaces(job, task))
 
     /** Records that [attempt] of [task] is or may be on [machine]; replaces an earlier attempt there. */
     fun place(task: Task, machine: Machine, attempt: Long, phase: Phase, now: Long): Placement {
@@ -192,7 +192,7 @@
 
     /** The task is not there any more, or never was: the caller has the evidence. */
     fun remove(placement: Placement, now: Long) {
-        if (placement.gone) return
+        if (placement.removed) return
         val machine = placement.machine
         unlink(placement)
         // A worker cancels a fetch that no task needs. An attempt that an earlier leader started has most likely fetched its
@@ -210,7 +210,7 @@
     }
 
     private fun unlink(placement: Placement) {
-        placement.gone = true
+        placement.removed = true
         placement.machine.placements.remove(placement.task.id, placement)
         placement.task.job.remove(placement)
         placement.machine.recomputeUsage()
@@ -221,10 +221,10 @@
     fun usage(team: Int): Resources = teams.usage(team)
 
     /** The number of placements of a team. */
-    fun running(team: Int): Int = teams.placements(team)
+    fun placementCount(team: Int): Int = teams.placements(team)
 
     /** The free capacity of [machine]. */
-    fun room(machine: Machine): Resources = (cluster.types[machine.type]?.size ?: Resources.NONE) - machine.used
+    fun freeCapacity(machine: Machine): Resources = (cluster.types[machine.type]?.size ?: Resources.NONE) - machine.used
 
     /** The job that [machine] is reserved for, while that job has waiting tasks. */
     fun reservedFor(machine: Machine, now: Long): Job? = jobAt(machine.reservedForAt(now))?.takeIf { it.startable && !it.waiting.isEmpty }
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/ClusterStatistics.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/ClusterStatistics.kt
@@ -11,7 +11,7 @@
     val inUse = JobKind.entries.associateWith(::acceleratorsByPhase)
     val up = machines.filter { it.phase == MachinePhase.UP }
     val empty = up.count { it.placements.isEmpty() }
-    val free = up.sumOf { room(it).gpus }
+    val free = up.sumOf { freeCapacity(it).gpus }
     val waiting = JobKind.entries.associateWith { kind -> active.values.filter { it.spec.kind == kind }.sumOf { it.waiting.cardinality() } }
     // Images that are fetched at the same time share a machine's rate.
     val fetches =
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/HeartbeatResponder.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/HeartbeatResponder.kt
@@ -13,28 +13,28 @@
  * Answers workers' heartbeats. The contents of a heartbeat are evidence in any case; an answer renews the worker's lease and
  * therefore needs the right to renew leases, and a fencing token of a higher term ends that right for good.
  */
-internal class HeartbeatResponder(private val parts: LeaderComponents, private val renewals: WorkerLeaseRenewals) {
-    private val state = parts.state
+internal class HeartbeatResponder(private val components: LeaderComponents, private val renewals: WorkerLeaseRenewals) {
+    private val state = components.state
     private var higherTermObserved = false
 
     /** Processes [heartbeat]; null when this node has no right to answer it. */
     fun answer(heartbeat: Heartbeat, now: Long): HeartbeatResponse? {
         if (observesHigherTerm(heartbeat.token)) return null
-        parts.heartbeats.process(heartbeat, now, isHeartbeat = true)
+        components.heartbeats.process(heartbeat, now, isHeartbeat = true)
         renewals.timePassed(now)
         if (!renewals.allowed) {
-            parts.flush(now)
+            components.flush(now)
             return null
         }
         val machine = state.addMachine(heartbeat.machine, now)
         machine.lease.on(WorkerLease.Event.HeartbeatAnswered(heartbeat.session, now))
-        parts.flush(now)
+        components.flush(now)
         return HeartbeatResponse(machine.token, heartbeat.tasks.mapNotNull(::commandFor).take(MAX_COMMANDS))
     }
 
     /** Processes a status that came as the answer to a command. */
     fun processCommandAnswer(heartbeat: Heartbeat, now: Long) {
-        if (!observesHigherTerm(heartbeat.token)) parts.heartbeats.process(heartbeat, now)
+        if (!observesHigherTerm(heartbeat.token)) components.heartbeats.process(heartbeat, now)
     }
 
     private fun observesHigherTerm(token: Long): Boolean {
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/Leader.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/Leader.kt
@@ -38,19 +38,19 @@
     listLagMs: Long,
     rules: RuleSet = RuleSet.NONE,
     /** The other controllers, any of which may win a later term. */
-    others: Collection<String> = emptyList(),
+    otherControllers: Collection<String> = emptyList(),
 ) {
-    private val parts = LeaderComponents(cluster, tuning, term, startedAt, wallNow, listLagMs, rules)
-    val state = parts.state
-    private val renewals = WorkerLeaseRenewals(state, others)
-    private val heartbeatResponder = HeartbeatResponder(parts, renewals)
-    private val periodicWork = PeriodicWork(parts, node, startedAt)
-    private val diagnostics = LeaderDiagnostics(parts)
+    private val components = LeaderComponents(cluster, tuning, term, startedAt, wallNow, listLagMs, rules)
+    val state = components.state
+    private val renewals = WorkerLeaseRenewals(state, otherControllers)
+    private val heartbeatResponder = HeartbeatResponder(components, renewals)
+    private val periodicWork = PeriodicWork(components, node, startedAt)
+    private val diagnostics = LeaderDiagnostics(components)
     private val taskLimit = TaskLimit(state, tuning.maxTasks)
     private val rulesInForce = RulesInForce(state, rules)
 
     init {
-        LeaderRecovery(parts, startedAt, wallNow).recover(recovered)
+        LeaderRecovery(components, startedAt, wallNow).recover(recovered)
     }
 
     // Time and effects
@@ -94,24 +94,24 @@
      * Whether an effect that was decided earlier may still be carried out. Starting tasks, scaling out and scaling in need the
      * leader lease; stopping tasks does not, since it is safe to repeat.
      */
-    fun isAllowedToAct(now: Long, withinLease: Boolean): Boolean {
+    fun mayExecute(now: Long, needsLease: Boolean): Boolean {
         advanceTo(now)
-        return !withinLease || state.leaseGuard.state == LeaseGuard.State.HELD
+        return !needsLease || state.leaseGuard.state == LeaseGuard.State.HELD
     }
 
     // The leader lease and its confirmation by peers
 
     /** This node holds the leader lease until then. */
-    fun leaseRenewed(until: Long, now: Long) {
+    fun leaderLeaseRenewed(until: Long, now: Long) {
         state.leaseGuard.renewed(until, now)
-        renewals.termLeaseRenewed(until, now)
+        renewals.leaderLeaseRenewed(until, now)
     }
 
     /** Whether the leader lease alone allows renewing workers' leases, without the confirmation of peers. */
-    fun holdsTermLease(now: Long): Boolean = renewals.timePassed(now) == RenewalBound.State.LEASED
+    fun holdsLeaderLease(now: Long): Boolean = renewals.timePassed(now) == RenewalBound.State.LEASED
 
     /** The controller [by] answered a request sent at [askedAt] that it knew of no later term, and that it had been up for [upMs]. */
-    fun termConfirmed(by: String, askedAt: Long, upMs: Long, now: Long) = renewals.termConfirmed(by, askedAt, upMs, now)
+    fun peerConfirmed(by: String, askedAt: Long, upMs: Long, now: Long) = renewals.peerConfirmed(by, askedAt, upMs, now)
 
     // Workers
 
@@ -123,24 +123,24 @@
 
     /** Whether there are machines that should have sent heartbeats by now, had these come through. */
     fun expectsHeartbeats(now: Long): Boolean =
-        now - startedAt > state.cluster.reportMs * HEARTBEATS_EXPECTED_AFTER && state.machines.any { it.phase in REPORTING }
+        now - startedAt > state.cluster.heartbeatIntervalMs * HEARTBEATS_EXPECTED_AFTER && state.machines.any { it.phase in REPORTING }
 
     /** The worker has executed the commands of message [id]; [heartbeat] is its status after them. */
     fun commandExecuted(id: Long, heartbeat: Heartbeat, now: Long) {
         advanceTo(now)
-        parts.dispatcher.executed(id, heartbeat) { heartbeatResponder.processCommandAnswer(it, now) }
-        parts.flush(now)
+        components.dispatcher.executed(id, heartbeat) { heartbeatResponder.processCommandAnswer(it, now) }
+        components.flush(now)
     }
 
     /** The worker refused message [id] since its fencing token or incarnation did not match. */
     fun commandRejected(id: Long, heartbeat: Heartbeat, now: Long) {
         advanceTo(now)
-        parts.dispatcher.rejected(id, heartbeat, now) { heartbeatResponder.processCommandAnswer(it, now) }
-        parts.flush(now)
+        components.dispatcher.rejected(id, heartbeat, now) { heartbeatResponder.processCommandAnswer(it, now) }
+        components.flush(now)
     }
 
     /** Message [id] was not answered; it may still be executed late. */
-    fun commandUnanswered(id: Long, now: Long) = parts.dispatcher.unanswered(id, now)
+    fun commandUnanswered(id: Long, now: Long) = components.dispatcher.unanswered(id, now)
 
     // The key-value store
 
@@ -148,14 +148,14 @@
     fun committed(id: Long, outcome: CommitOutcome, now: Long) {
         advanceTo(now)
         state.committed(id, outcome)
-        parts.flush(now)
+        components.flush(now)
     }
 
     /** The outcome of [Effect.ReadJobRecord]. */
     fun jobRecordRead(job: String, found: JobRecord, now: Long) {
         advanceTo(now)
-        state.job(job)?.let { parts.lifecycle.recordRead(it, found, now) }
-        parts.flush(now)
+        state.job(job)?.let { components.lifecycle.recordRead(it, found, now) }
+        components.flush(now)
     }
 
     // Jobs
@@ -165,14 +165,14 @@
         if (state.job(stored.spec.id) != null) return
         val job = state.addJob(stored, now, wallNow)
         if (job.stage != JobStage.ACTIVE) return
-        parts.autoscaler.noteArrival(job, now)
+        components.autoscaler.noteArrival(job, now)
         periodicWork.jobAdded(now)
     }
 
     /** Cancels a job; returns its stage (active until [Effect.CancellationConfirmed]), or null for an unknown job. */
     fun cancel(id: String, now: Long): JobStage? {
         val job = state.job(id) ?: return null
-        if (job.stage == JobStage.ACTIVE) parts.lifecycle.cancel(job, now)
+        if (job.stage == JobStage.ACTIVE) components.lifecycle.cancel(job, now)
         return job.stage
     }
 
@@ -183,7 +183,7 @@
      * As [status], but null also while the terminal record is being written or its outcome is unknown: it may be durable
      * already and others may read it; see [TerminalRecord].
      */
-    fun confirmedStatus(id: String): JobStatus? = status(id)?.takeIf { state.job(id)!!.terminalRecord.tellableFromMemory }
+    fun confirmedStatus(id: String): JobStatus? = status(id)?.takeIf { state.job(id)!!.terminalRecord.answerableFromMemory }
 
     /** Why each task of the job is where it is, [most] tasks at most from number [first] on; null for an unknown job. */
     fun explain(id: String, first: Int, most: Int, now: Long): List<Explanation>? = diagnostics.explain(id, first, most, now)
@@ -205,26 +205,26 @@
     fun acceptProposals(proposals: List<Proposal>, now: Long): List<Boolean> {
         advanceTo(now)
         if (state.leaseGuard.state == LeaseGuard.State.RESUMED_EXPIRED) return proposals.map { false }
-        val accepted = parts.dispatcher.accept(proposals, now)
-        parts.flush(now)
+        val accepted = components.dispatcher.accept(proposals, now)
+        components.flush(now)
         return accepted
     }
 
     // The cloud
 
-    fun machinesListed(machines: List<ListedMachine>, now: Long) = parts.autoscaler.listed(machines, now)
+    fun machinesListed(machines: List<ListedMachine>, now: Long) = components.autoscaler.listed(machines, now)
 
-    fun scaleOutCompleted(request: String, machines: List<String>, now: Long) = parts.autoscaler.rented(request, machines, now)
+    fun scaleOutCompleted(request: String, machines: List<String>, now: Long) = components.autoscaler.rented(request, machines, now)
 
-    fun scaleOutRefused(request: String, now: Long) = parts.autoscaler.rentalRefused(request, now)
+    fun scaleOutRefused(request: String, now: Long) = components.autoscaler.rentalRefused(request, now)
 
-    fun scaleOutOutcomeUnknown(request: String, now: Long) = parts.autoscaler.rentalUnknown(request, now)
+    fun scaleOutOutcomeUnknown(request: String, now: Long) = components.autoscaler.rentalUnknown(request, now)
 
-    fun scaleInCompleted(machines: List<String>, confirmed: Boolean, now: Long) = parts.autoscaler.released(machines, confirmed, now)
+    fun scaleInCompleted(machines: List<String>, confirmed: Boolean, now: Long) = components.autoscaler.released(machines, confirmed, now)
 
     // Rules
 
-    val rulesVersion: Long get() = state.book.set.version
+    val rulesVersion: Long get() = state.ruleBook.set.version
 
     /** From now on starts obey these rules of the operators; a version that is not newer than the present one changes nothing. */
     fun useRules(rules: RuleSet) = rulesInForce.useOperatorRules(rules)
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderDiagnostics.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderDiagnostics.kt
@@ -10,16 +10,16 @@
 import org.honeyjunction.core.model.Job
 
 /** What operators and users are shown of the leader's decisions; nothing here changes the state. */
-internal class LeaderDiagnostics(private val parts: LeaderComponents) {
-    private val state = parts.state
+internal class LeaderDiagnostics(private val components: LeaderComponents) {
+    private val state = components.state
 
     /** One line for the log. */
     fun statistics(): String =
         listOf(
             state.statistics(),
-            parts.journal.statistics(),
-            parts.workConservation.statistics(state.now),
-            parts.failures.statistics(state.now),
+            components.journal.statistics(),
+            components.workConservation.statistics(state.now),
+            components.failures.statistics(state.now),
             "less than half started ${groupsWithFewStarted()}",
         ).joinToString("; ")
 
@@ -30,7 +30,7 @@
 
     /** For each class and team: how many of the jobs that have had time to start were started. */
     fun servedCounts(now: Long): Map<FairnessGroup, ServedCount> =
-        parts.fairness.counts(state.active.values.asSequence().map { it.counted(now) })
+        components.fairness.counts(state.active.values.asSequence().map { it.counted(now) })
 
     /** The classes and teams with less than half of their jobs started although machines have had room for a waiting one. */
     fun starvedGroups(now: Long): Map<FairnessGroup, ServedCount> {
@@ -41,11 +41,11 @@
     }
 
     /** The jobs that have waited beside free capacity that they may use for longer than they should. */
-    fun stalledJobs(now: Long): List<StalledJob> = parts.workConservation.stalled(now)
+    fun stalledJobs(now: Long): List<StalledJob> = components.workConservation.stalled(now)
 
     /** See [Leader.explain]. */
     fun explain(id: String, first: Int, most: Int, now: Long): List<Explanation>? {
-        val explainer = parts.explainer ?: return null
+        val explainer = components.explainer ?: return null
         explainer.begin()
         val job = state.job(id) ?: return explainer.rememberedTasks(id, first, most, now)
         val freeCapacity = freeCapacityBeside(job, now)
@@ -58,7 +58,7 @@
         (first until first + most).mapNotNull { remembered("$id/$it", now) }.ifEmpty { null }
 
     private fun freeCapacityBeside(job: Job, now: Long): String? =
-        parts.workConservation.of(job, now)?.let {
+        components.workConservation.of(job, now)?.let {
             "free machines have had room for it for ${(now - it.sinceMs) / 1000} s: ${it.reason.text}"
         }
 
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderRecovery.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderRecovery.kt
@@ -23,15 +23,15 @@
  *
  * [now] is steady, [wallNow] wall-clock time of the same moment, in milliseconds.
  */
-internal class LeaderRecovery(private val parts: LeaderComponents, private val now: Long, private val wallNow: Long) {
-    private val state = parts.state
+internal class LeaderRecovery(private val components: LeaderComponents, private val now: Long, private val wallNow: Long) {
+    private val state = components.state
 
     fun recover(recovered: RecoveredState) {
         recovered.jobs.forEach { state.addJob(it, now, wallNow) }
         recovered.machines.forEach(::recoverMachine)
         recoverJournal(recovered.pages)
-        recoverCheckpoint(recovered.marks)
-        state.active.values.forEach { parts.autoscaler.noteArrival(it, now) }
+        recoverCheckpoint(recovered.checkpoint)
+        state.active.values.forEach { components.autoscaler.noteArrival(it, now) }
     }
 
     private fun recoverMachine(checkpoint: MachineCheckpoint) {
@@ -47,9 +47,9 @@
     /** The results of all pages come first: a task that is done need not be looked for on any machine. */
     private fun recoverJournal(pages: List<JournalPageRecord>) {
         val results = pages.associateWith { page -> page.done.flatMap { (job, numbers) -> tasks(job, numbers) } }
-        results.values.flatten().forEach(parts.lifecycle::restore)
+        results.values.flatten().forEach(components.lifecycle::restore)
         results.forEach { (page, done) ->
-            parts.journal.restore(page.page, page.version, page.starts.mapNotNull(::recoverStart), done)
+            components.journal.restore(page.page, page.version, page.starts.mapNotNull(::recoverStart), done)
         }
     }
 
@@ -71,19 +71,19 @@
 
     private fun recoverCheckpoint(checkpoint: LeaderCheckpoint) {
         checkpoint.jobs.forEach(::recoverJobFailures)
-        parts.fairness.restore(checkpoint.served)
+        components.fairness.restore(checkpoint.served)
         checkpoint.boots.forEach(::recoverBootTimes)
     }
 
     private fun recoverJobFailures(checkpoint: JobFailureCheckpoint) {
         val job = state.job(checkpoint.job)?.takeIf { it.startable } ?: return
-        job.notBefore = now + parts.failures.restore(job.index, checkpoint, wallNow - now)
+        job.notBefore = now + components.failures.restore(job.index, checkpoint, wallNow - now)
         job.failing = checkpoint.failing
     }
 
     private fun recoverBootTimes(checkpoint: BootTimeCheckpoint) {
         val type = state.cluster.typeNames.indexWithin(checkpoint.type, Cluster.MAX_TYPES)
         val zone = state.cluster.zones.find(checkpoint.zone)
-        parts.bootTimes.restore(InstanceKind(type, zone, checkpoint.spot), checkpoint, now)
+        components.bootTimes.restore(InstanceKind(type, zone, checkpoint.spot), checkpoint, now)
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/RecoveredState.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/RecoveredState.kt
@@ -14,5 +14,5 @@
     val jobs: List<StoredJob>,
     val pages: List<JournalPageRecord>,
     val machines: List<MachineCheckpoint>,
-    val marks: LeaderCheckpoint = LeaderCheckpoint(),
+    val checkpoint: LeaderCheckpoint = LeaderCheckpoint(),
 )
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/Tuning.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/Tuning.kt
@@ -4,15 +4,15 @@
 
 /** The operators' settings of scheduling, times in milliseconds; the defaults are explained in docs/design.md. */
 data class Tuning(
-    val roundMs: Long = 500,
-    val summaryMs: Long = 500,
-    val capacityMs: Long = 1_000,
+    val placementIntervalMs: Long = 500,
+    val summaryWaitMs: Long = 500,
+    val capacityPlanIntervalMs: Long = 1_000,
     val idleMs: Long = 45_000,
     val spareFactor: Double = 1.0,
     val forecastMs: Long = 150_000,
     val preemptAfterMs: Long = 700,
-    val refusalMs: Long = 8_000,
-    val lapseMs: Long = 3_000,
+    val refusedOfferBackoffMs: Long = 8_000,
+    val ownerTimeoutMs: Long = 3_000,
     val leaseMs: Long = 5_000,
     val maxTasks: Int = 250_000,
     /** Whether operators' rules are stored, obeyed and explained. */
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/WorkerLeaseRenewals.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/WorkerLeaseRenewals.kt
@@ -11,15 +11,15 @@
     private val bound = RenewalBound(otherNodes, RenewalBound.gracePeriodMs(state.cluster.cancelMs, state.cluster.leaseMs))
 
     /** As of the last event; see [timePassed]. */
-    val allowed: Boolean get() = bound.renews
+    val allowed: Boolean get() = bound.mayRenew
 
     /** This node holds the leader lease until then. */
-    fun termLeaseRenewed(until: Long, now: Long) {
+    fun leaderLeaseRenewed(until: Long, now: Long) {
         on(RenewalBound.Event.LeaderLeaseRenewed(until, now))
     }
 
     /** [node] answered a request sent at [requestedAt] that it knew of no later term, and that it had been up for [upMs]. */
-    fun termConfirmed(node: String, requestedAt: Long, upMs: Long, now: Long) {
+    fun peerConfirmed(node: String, requestedAt: Long, upMs: Long, now: Long) {
         on(RenewalBound.Event.PeerConfirmed(node, requestedAt, upMs, now))
     }
 
@@ -35,7 +35,7 @@
         val after = bound.on(event)
         if (after == RenewalBound.State.EXPIRED && before != after) {
             state.effects += Effect.LogEvent("renewals-stopped", STOPPED_REASON)
-        } else if (before == RenewalBound.State.EXPIRED && bound.renews && state.now > state.startedAt) {
+        } else if (before == RenewalBound.State.EXPIRED && bound.mayRenew && state.now > state.startedAt) {
             state.effects += Effect.LogEvent("renewals-resumed", "worker leases are renewed again ($after)")
         }
         return after
--- a/src/main/kotlin/org/honeyjunction/core/control/machines/FailureDetector.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/machines/FailureDetector.kt
@@ -82,14 +82,14 @@
     private fun cancellationTimeoutMs(machine: Machine) =
         if (zones[machine.zone] == ZoneHealth.PARTITIONED) leaseExpiryMs else heartbeatTimeoutMs
 
-    private val heartbeatTimeoutMs get() = state.cluster.reportMs * MISSED_HEARTBEATS
+    private val heartbeatTimeoutMs get() = state.cluster.heartbeatIntervalMs * MISSED_HEARTBEATS
 
     private fun cancelled(job: Job) = job.stage == JobStage.CANCELLED || job.cancelRequested
 
     /** Whether this node itself is probably cut off: no machine at all reports, or the process was suspended until just now. */
     fun isolated(now: Long) =
-        state.machines.none { now - it.lastContactAt < state.cluster.reportMs * ISOLATION_HEARTBEATS } ||
-            now - state.leaseGuard.resumedAt < state.cluster.reportMs * RESUME_HEARTBEATS
+        state.machines.none { now - it.lastContactAt < state.cluster.heartbeatIntervalMs * ISOLATION_HEARTBEATS } ||
+            now - state.leaseGuard.resumedAt < state.cluster.heartbeatIntervalMs * RESUME_HEARTBEATS
 
     /**
      * The machines to release as a proof that replicas of production jobs are gone: those without contact past any lease that
@@ -104,7 +104,7 @@
             }
         val critical = candidates.flatMap { machine -> machine.placements.values.filter(::critical) }
         if (critical.isEmpty()) return emptyList()
-        val fitting = FirstFitEstimate(capacityForProduction(now), state.book.table)
+        val fitting = FirstFitEstimate(capacityForProduction(now), state.ruleBook.table)
         // Production tasks that are pending already go first.
         queue
             .demands(now)
@@ -133,7 +133,7 @@
     private fun capacityFor(machine: Machine, priority: Priority): Resources =
         machine.placements.values
             .filter { it.task.job.spec.priority < priority && it.task.job.spec.checkpointS > 0 }
-            .fold(state.room(machine)) { sum, placement -> sum + placement.task.job.spec.need }
+            .fold(state.freeCapacity(machine)) { sum, placement -> sum + placement.task.job.spec.need }
 
     private companion object {
         const val TERMINATION_CHECK_PERIOD_MS = 1_000L
--- a/src/main/kotlin/org/honeyjunction/core/control/machines/HeartbeatProcessor.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/machines/HeartbeatProcessor.kt
@@ -42,7 +42,7 @@
         noteContact(machine, isHeartbeat, now)
         reconcileTasks(machine, report, newSession, now)
         state.machinesToSendTo += machine
-        if (report.noticeS != null) handleSpotNotice(machine, report.noticeS, now)
+        if (report.spotNoticeS != null) handleSpotNotice(machine, report.spotNoticeS, now)
         return true
     }
 
@@ -141,8 +141,8 @@
 
     /** The machine, a spot instance, will be taken away in [noticeS] seconds: its tasks move while they can. */
     private fun handleSpotNotice(machine: Machine, noticeS: Double, now: Long) {
-        val first = machine.noticeUntil == null
-        machine.noticeUntil = now + (noticeS * 1000).toLong()
+        val first = machine.spotReclaimAt == null
+        machine.spotReclaimAt = now + (noticeS * 1000).toLong()
         if (machine.phase == MachinePhase.UP) machine.enter(MachinePhase.DRAINING)
         if (!first) return
         for (placement in machine.placements.values.toList()) {
--- a/src/main/kotlin/org/honeyjunction/core/control/machines/ZoneHealthMonitor.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/machines/ZoneHealthMonitor.kt
@@ -84,7 +84,7 @@
             ZoneHealth.HEALTHY -> if (partitioned(present, unresponsive)) enter(index, ZoneHealth.PARTITIONED, now)
             ZoneHealth.PARTITIONED -> evaluatePartition(index, present, unresponsive, now)
             ZoneHealth.RECOVERING -> {
-                val settled = now - zone.since > state.cluster.reportMs * OVERDUE_HEARTBEATS
+                val settled = now - zone.since > state.cluster.heartbeatIntervalMs * OVERDUE_HEARTBEATS
                 val next = if (partitioned(present, unresponsive)) ZoneHealth.PARTITIONED else ZoneHealth.HEALTHY
                 if (settled) enter(index, next, now)
             }
@@ -117,7 +117,7 @@
 
     /** Answers to commands do not count: they renew no lease, so tasks started there meanwhile would be lost with the lease. */
     fun heartbeatOverdue(machine: Machine, now: Long) =
-        elapsedMs(machine, machine.lastHeartbeatAt, now) > state.cluster.reportMs * OVERDUE_HEARTBEATS
+        elapsedMs(machine, machine.lastHeartbeatAt, now) > state.cluster.heartbeatIntervalMs * OVERDUE_HEARTBEATS
 
     /** How long no message of [machine] has come, neither a heartbeat nor the answer to a command. */
     fun sinceLastContactMs(machine: Machine, now: Long) = elapsedMs(machine, machine.lastContactAt, now)
--- a/src/main/kotlin/org/honeyjunction/core/control/messages/Change.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/messages/Change.kt
@@ -5,13 +5,13 @@
 /** One durable change; the codec of the key-value store defines how it is written. */
 sealed interface Change {
     /** A page of the placement journal, written on condition of the version that it names; [write] identifies this write. */
-    data class JournalPage(val record: JournalPageRecord, val write: Long) : Change
+    data class JournalPage(val record: JournalPageRecord, val writeId: Long) : Change
 
     /** Where machines are and what they cache: speeds up a new leader, and correctness does not depend on it. */
     data class MachineCheckpoints(val page: Int, val machines: List<MachineCheckpoint>) : Change
 
     /** What a later leader need not find out again. */
-    data class Checkpoint(val marks: LeaderCheckpoint) : Change
+    data class Checkpoint(val checkpoint: LeaderCheckpoint) : Change
 
     /** Moves the record of the job, on condition of [version], to the terminal records. */
     data class JobFinished(val job: String, val version: Long, val cancelled: Boolean) : Change
--- a/src/main/kotlin/org/honeyjunction/core/control/messages/Effect.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/messages/Effect.kt
@@ -32,7 +32,7 @@
     data class CancellationConfirmed(val job: String, val done: Boolean) : Effect
 
     /** A log line for operators under the stable name [event], which consists of lower-case words and hyphens. */
-    data class LogEvent(val event: String, val what: String) : Effect
+    data class LogEvent(val event: String, val message: String) : Effect
 
     /** This node can no longer be sure to be the only leader. */
     data class StepDown(val reason: String) : Effect
--- a/src/main/kotlin/org/honeyjunction/core/control/messages/Heartbeat.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/messages/Heartbeat.kt
@@ -27,7 +27,7 @@
  * A worker's status, sent periodically and as the answer to commands.
  *
  * [session] is the incarnation of the agent and [sequence] orders the heartbeats within it. [token] is the highest fencing
- * token that the worker has seen. [noticeS]: seconds until the cloud takes the instance back; null without such a notice.
+ * token that the worker has seen. [spotNoticeS]: seconds until the cloud takes the instance back; null without such a notice.
  */
 data class Heartbeat(
     val machine: String,
@@ -38,6 +38,6 @@
     val session: Long,
     val sequence: Long,
     val token: Long,
-    val noticeS: Double?,
+    val spotNoticeS: Double?,
     val tasks: List<ReportedTask>,
 )
--- a/src/main/kotlin/org/honeyjunction/core/control/preemption/PreemptionPlanner.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/preemption/PreemptionPlanner.kt
@@ -43,9 +43,9 @@
 
     private fun site(machine: Machine, now: Long): PreemptionSite {
         val (leaving, staying) = machine.placements.values.partition { it.stopping }
-        val free = leaving.fold(state.room(machine)) { sum, placement -> sum + placement.task.job.spec.need }
+        val free = leaving.fold(state.freeCapacity(machine)) { sum, placement -> sum + placement.task.job.spec.need }
         val running = staying.filter { it.phase.reported }.mapTo(ArrayList()) { describe(it, now) }
-        return PreemptionSite(machine, queue.capacity.of(machine, now).withFree(free), running, state.book.table)
+        return PreemptionSite(machine, queue.capacity.of(machine, now).withFree(free), running, state.ruleBook.table)
     }
 
     /** Which tasks may be preempted for a task depends on its team and its guarantee too. */
@@ -151,7 +151,7 @@
     private fun lostS(placement: Placement, now: Long): Double {
         val spec = placement.task.job.spec
         val running = placement.phase == Phase.RUNNING
-        val ranS = if (running) (now - placement.since) / 1000.0 else 0.0
+        val ranS = if (running) (now - placement.phaseSince) / 1000.0 else 0.0
         val progressLostS =
             when {
                 spec.kind == JobKind.SERVICE -> SERVICE_LOSS_S
--- a/src/main/kotlin/org/honeyjunction/core/lease/RenewalBound.kt
+++ b/src/main/kotlin/org/honeyjunction/core/lease/RenewalBound.kt
@@ -58,7 +58,7 @@
     val noLaterTermUntil: Long get() = confirmedUntil.keys.minOfOrNull(::noTermOfPeerUntil) ?: FOREVER
 
     /** Whether heartbeats may be answered. */
-    val renews get() = state == State.LEASED || state == State.GRACE_PERIOD
+    val mayRenew get() = state == State.LEASED || state == State.GRACE_PERIOD
 
     /** Up to then [peer] cannot have become the leader. */
     private fun noTermOfPeerUntil(peer: String) = maxOf(leasedUntil, confirmedUntil.getValue(peer))
--- a/src/main/kotlin/org/honeyjunction/core/lease/WorkerLease.kt
+++ b/src/main/kotlin/org/honeyjunction/core/lease/WorkerLease.kt
@@ -16,7 +16,7 @@
         /** The worker has not acknowledged this term's fencing token: others may renew its lease, so elapsed time is no evidence. */
         UNFENCED,
 
-        /** Only this leader renews the lease, and its duration counts from [from]. */
+        /** Only this leader renews the lease, and its duration counts from [countedFrom]. */
         ACTIVE,
 
         /** The lease of [session] has expired, and all tasks started in it or before are gone. The next session is not known. */
@@ -65,7 +65,7 @@
         private set
 
     /** In [State.ACTIVE]: the lease expires no later than its duration after this. */
-    var from = Long.MIN_VALUE / 2
+    var countedFrom = Long.MIN_VALUE / 2
         private set
     private var sequence = -1L
 
@@ -76,14 +76,14 @@
         when (event) {
             is Event.MessageReceived -> receive(event)
             is Event.HeartbeatAnswered -> {
-                if (state == State.ACTIVE && event.session == session) from = maxOf(from, event.now)
+                if (state == State.ACTIVE && event.session == session) countedFrom = maxOf(countedFrom, event.now)
                 Finding.NONE
             }
             is Event.TimePassed -> checkExpiry(event.now)
         }
 
     private fun checkExpiry(now: Long): Finding {
-        if (state != State.ACTIVE || now <= from + leaseMs * DRIFT + MARGIN_MS) return Finding.NONE
+        if (state != State.ACTIVE || now <= countedFrom + leaseMs * DRIFT + MARGIN_MS) return Finding.NONE
         state = State.EXPIRED
         return Finding.EXPIRED
     }
@@ -98,7 +98,7 @@
         ackedToken = maxOf(ackedToken, message.token)
         if (fenced && (laterSession || state == State.UNFENCED)) {
             state = State.ACTIVE
-            from = message.now
+            countedFrom = message.now
         }
         return if (laterSession) Finding.NEW_SESSION else Finding.NEWER
     }
--- a/src/main/kotlin/org/honeyjunction/core/model/Cluster.kt
+++ b/src/main/kotlin/org/honeyjunction/core/model/Cluster.kt
@@ -25,15 +25,15 @@
 
 /** A team with its guaranteed quota and its limit; a limit of 0 means that there is none for that resource. */
 data class Team(val name: String, val guarantee: Resources, val limit: Resources) {
-    /** Whether [use] keeps within the guarantee; a guarantee of 0 does not restrict, but one of both is needed. */
-    fun guarantees(use: Resources): Boolean =
-        (guarantee.cpus <= 0 || use.cpus <= guarantee.cpus + Resources.ROUNDING) &&
-            (guarantee.gpus <= 0 || use.gpus <= guarantee.gpus + Resources.ROUNDING) &&
+    /** Whether [usage] keeps within the guarantee; a guarantee of 0 does not restrict, but one of both is needed. */
+    fun withinGuarantee(usage: Resources): Boolean =
+        (guarantee.cpus <= 0 || usage.cpus <= guarantee.cpus + Resources.ROUNDING) &&
+            (guarantee.gpus <= 0 || usage.gpus <= guarantee.gpus + Resources.ROUNDING) &&
             (guarantee.cpus > 0 || guarantee.gpus > 0)
 
-    /** Whether [use] keeps within the limit. */
-    fun allows(use: Resources): Boolean =
-        (limit.cpus <= 0 || use.cpus <= limit.cpus + Resources.ROUNDING) && (limit.gpus <= 0 || use.gpus <= limit.gpus + Resources.ROUNDING)
+    /** Whether [usage] keeps within the limit. */
+    fun withinLimit(usage: Resources): Boolean =
+        (limit.cpus <= 0 || usage.cpus <= limit.cpus + Resources.ROUNDING) && (limit.gpus <= 0 || usage.gpus <= limit.gpus + Resources.ROUNDING)
 }
 
 /** A type of machine that the cloud rents; [zones] by their dense indices, prices for the same period. */
@@ -55,13 +55,13 @@
     val zones: NameTable,
     val teams: List<Team>,
     val leaseMs: Long,
-    val reportMs: Long,
+    val heartbeatIntervalMs: Long,
     val cancelMs: Long,
     /** Bytes that a page of the placement journal may have, and the least time between two of its writes. */
     val pageBytes: Int = 3_600,
-    val pageGapMs: Long = 100,
+    val pageWriteIntervalMs: Long = 100,
     /** How many command messages may be in flight at once. */
-    val maxSends: Int = 128,
+    val maxCommandsInFlight: Int = 128,
     /** The service-level objective of a job class: its tasks start within so many seconds. */
     val startWithinS: Map<String, Double> = emptyMap(),
 ) {
--- a/src/main/kotlin/org/honeyjunction/core/model/Job.kt
+++ b/src/main/kotlin/org/honeyjunction/core/model/Job.kt
@@ -50,7 +50,7 @@
     if (team == NameTable.ABSENT) return Feasibility.Infeasible("there is no team ${spec.team}")
     val concurrentNeed = if (spec.kind == JobKind.ARRAY) spec.need else spec.need * spec.tasks
     val limit = teams[team].limit
-    if (!teams[team].allows(concurrentNeed)) return Feasibility.Infeasible(limitExceeded(spec, concurrentNeed, limit))
+    if (!teams[team].withinLimit(concurrentNeed)) return Feasibility.Infeasible(limitExceeded(spec, concurrentNeed, limit))
     if (types.isEmpty()) return Feasibility.Unknown
     val fitting = types.values.filter { spec.mayUse(it) }
     return when {
@@ -154,7 +154,7 @@
     }
 
     /** Returns false for a task that was done already. */
-    fun finish(task: Task): Boolean {
+    fun markDone(task: Task): Boolean {
         if (task.done) return false
         task.done = true
         doneCount++
@@ -168,7 +168,7 @@
     /** Every placement of the task that exists or might exist. It may be started only if there is none. */
     val placements = ArrayList<Placement>(0)
 
-    /** A worker reported that it has finished; set by [Job.finish]. */
+    /** A worker reported that it has finished; set by [Job.markDone]. */
     var done = false
 
     /** The result is in the key-value store. Only then may the worker reap the attempt. */
@@ -207,7 +207,7 @@
 class Placement(val task: Task, val machine: Machine, val attempt: Long, phase: Phase, now: Long) {
     var phase = phase
         private set
-    var since = now
+    var phaseSince = now
         private set
 
     /** In [Phase.SENT]: the lowest fencing token whose acknowledgement proves that the start can no longer be executed. */
@@ -217,12 +217,12 @@
     var stopSentAt = 0L
 
     /** Removed on evidence that the task is not on the machine any more, or never was. */
-    var gone = false
+    var removed = false
 
     /** The only function that changes the phase. A reported phase never falls back to an unreported one. */
     fun enter(next: Phase, now: Long) {
         check(next > phase || next.reported) { "${task.id}: $phase -> $next" }
-        if (phase != next) since = now
+        if (phase != next) phaseSince = now
         phase = next
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/model/Machine.kt
+++ b/src/main/kotlin/org/honeyjunction/core/model/Machine.kt
@@ -67,13 +67,13 @@
     var idleSince = Long.MIN_VALUE
 
     /** When a spot instance will be taken away; null without such a notice. */
-    var noticeUntil: Long? = null
+    var spotReclaimAt: Long? = null
 
     /** The jobs whose tasks were on it when its lease expired: a machine that hangs may run them beyond its lease. */
     var jobsAtExpiry: Set<Job> = emptySet()
 
     /** Only one command message is in flight at a time, so that commands arrive in the order in which they were decided. */
-    var commandBusy = false
+    var commandInFlight = false
     var commandFailures = 0
     var nextCommandAt = 0L
     val placements = LinkedHashMap<String, Placement>()
@@ -81,9 +81,9 @@
     /** Images believed to be cached, least recently used first. */
     val images = LinkedHashMap<Int, Double>(16, 0.75f, true)
 
-    /** Its free capacity is reserved, until [floorUntil], for tasks of this priority or a higher one. */
-    var floor = Priority.LOW
-    var floorUntil = Long.MIN_VALUE
+    /** Its free capacity is reserved, until [minPriorityUntil], for tasks of this priority or a higher one. */
+    var minPriority = Priority.LOW
+    var minPriorityUntil = Long.MIN_VALUE
 
     private var reservedFor = NameTable.ABSENT
     private var reservedUntil = Long.MIN_VALUE
@@ -98,11 +98,11 @@
     fun reservedForAt(now: Long) = if (now < reservedUntil) reservedFor else NameTable.ABSENT
 
     fun reserveForPriority(priority: Priority, until: Long) {
-        floor = priority
-        floorUntil = until
+        minPriority = priority
+        minPriorityUntil = until
     }
 
-    fun floorAt(now: Long) = if (now < floorUntil) floor else Priority.LOW
+    fun minPriorityAt(now: Long) = if (now < minPriorityUntil) minPriority else Priority.LOW
 
     val usable get() = phase == MachinePhase.UP
 
--- a/src/main/kotlin/org/honeyjunction/core/model/TerminalRecord.kt
+++ b/src/main/kotlin/org/honeyjunction/core/model/TerminalRecord.kt
@@ -54,7 +54,7 @@
         private set
 
     /** Whether this leader may tell the job's state from memory: it is as new as anything that anybody can have read. */
-    val tellableFromMemory get() = state == State.OPEN || state == State.RECORDED
+    val answerableFromMemory get() = state == State.OPEN || state == State.RECORDED
 
     /** A write is sent. Returns whether it has to say `cancelled`: what the first write said, which is [wish] if this is it. */
     fun beginWrite(wish: Boolean): Boolean {
--- a/src/main/kotlin/org/honeyjunction/simulation/ClusterChecks.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/ClusterChecks.kt
@@ -71,7 +71,7 @@
     private fun checkTeamUsage(state: ClusterState, team: Int, placements: List<Placement>) {
         val ofTeam = placements.filter { it.task.job.team == team }
         val gpus = ofTeam.sumOf { it.task.job.spec.need.gpus }
-        if (state.usage(team).gpus != gpus || state.running(team) != ofTeam.size) {
+        if (state.usage(team).gpus != gpus || state.placementCount(team) != ofTeam.size) {
             history.broken += "${context.now} usage of team $team"
         }
     }
--- a/src/main/kotlin/org/honeyjunction/simulation/FakeStateService.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/FakeStateService.kt
@@ -49,9 +49,9 @@
 
     private fun apply(change: Change) {
         when (change) {
-            is Change.JournalPage -> pages[change.record.page] = change.record.copy(version = revision) to change.write
+            is Change.JournalPage -> pages[change.record.page] = change.record.copy(version = revision) to change.writeId
             is Change.MachineCheckpoints -> machineCheckpoints[change.page] = change.machines
-            is Change.Checkpoint -> leaderCheckpoint = change.marks
+            is Change.Checkpoint -> leaderCheckpoint = change.checkpoint
             is Change.JobFinished -> {
                 val stage = if (change.cancelled) JobStage.CANCELLED else JobStage.DONE
                 finals[change.job] = jobs.remove(change.job)!!.copy(stage = stage)
@@ -63,7 +63,7 @@
     fun reread(changes: List<Change>): CommitOutcome {
         val change = changes.filterIsInstance<Change.JournalPage>().firstOrNull() ?: return CommitOutcome.Failed()
         val (record, write) = pages[change.record.page] ?: return CommitOutcome.Failed(0)
-        return if (write == change.write) CommitOutcome.Applied(record.version) else CommitOutcome.Failed(record.version)
+        return if (write == change.writeId) CommitOutcome.Applied(record.version) else CommitOutcome.Failed(record.version)
     }
 
     fun record(id: String): JobRecord {
--- a/src/main/kotlin/org/honeyjunction/simulation/SimulatedController.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/SimulatedController.kt
@@ -36,7 +36,7 @@
             context.setup.listLagMs,
             rules,
             listOf(PEER),
-        ).also { it.leaseRenewed(context.now + SimulatedCluster.LEASE, context.now) }
+        ).also { it.leaderLeaseRenewed(context.now + SimulatedCluster.LEASE, context.now) }
 
     /** The process is suspended until then while its clocks run on: what happens meanwhile is handled afterwards, in order. */
     var frozenUntil = 0L
@@ -54,7 +54,7 @@
         if (!alive) return
         if (context.now < frozenUntil) return context.after(frozenUntil - context.now) { tick() }
         val renews = this === context.leader && !context.state.down && !cutOff && !refused
-        if (renews) leader.leaseRenewed(context.now + SimulatedCluster.LEASE, context.now)
+        if (renews) leader.leaderLeaseRenewed(context.now + SimulatedCluster.LEASE, context.now)
         if (!cutOff && context.now % PEER_CONFIRMATION_MS < TICK_MS) confirmByPeers()
         run { tick(context.now) }
         context.after(TICK_MS) { tick() }
@@ -62,7 +62,7 @@
 
     /** The other controllers have been up all the time, and know the latest term. */
     private fun confirmByPeers() {
-        if (term < context.state.term) alive = false else run { termConfirmed(PEER, context.now, context.now, context.now) }
+        if (term < context.state.term) alive = false else run { peerConfirmed(PEER, context.now, context.now, context.now) }
     }
 
     companion object {
--- a/src/main/kotlin/org/honeyjunction/wire/OtherSide.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/OtherSide.kt
@@ -38,7 +38,7 @@
         body.put(ProtocolNames.INCARNATION, heartbeat.session)
         body.put(ProtocolNames.SEQUENCE, heartbeat.sequence)
         body.put(ProtocolNames.FENCING_TOKEN, heartbeat.token)
-        body.put(ProtocolNames.PREEMPTION_NOTICE_S, heartbeat.noticeS)
+        body.put(ProtocolNames.PREEMPTION_NOTICE_S, heartbeat.spotNoticeS)
         body.putArray(ProtocolNames.TASKS).apply { heartbeat.tasks.forEach { addObject().putTask(it) } }
         return Json.write(body)
     }
--- a/src/test/kotlin/org/honeyjunction/app/SettingsTest.kt
+++ b/src/test/kotlin/org/honeyjunction/app/SettingsTest.kt
@@ -90,7 +90,7 @@
     @Test
     fun `operators may set some and leave the rest`() {
         val tuning = OperatorSettings.parse(Json.read("""{"round_ms":2000,"cost":{"alpha":2.5}}""".toByteArray()))
-        assertEquals(2000L, tuning.roundMs)
+        assertEquals(2000L, tuning.placementIntervalMs)
         assertEquals(2.5, tuning.cost.alpha)
         assertEquals(Tuning().idleMs, tuning.idleMs)
     }
--- a/src/test/kotlin/org/honeyjunction/core/control/jobs/JobTerminationModel.kt
+++ b/src/test/kotlin/org/honeyjunction/core/control/jobs/JobTerminationModel.kt
@@ -114,7 +114,7 @@
         val stored = StoredJob(spec, "n", 0, service.version, service.stage)
         val recovered = RecoveredState(listOf(stored), service.pageRecords, listOf(checkpoint))
         val leader = Leader(ClusterSetup().cluster(), Tuning(), service.term, "n", recovered, now, now, 4000)
-        leader.leaseRenewed(Long.MAX_VALUE / 2, now)
+        leader.leaderLeaseRenewed(Long.MAX_VALUE / 2, now)
         return ModelLeader(service.term, leader, spec.id)
     }
 
--- a/src/test/kotlin/org/honeyjunction/core/control/jobs/ModelStateService.kt
+++ b/src/test/kotlin/org/honeyjunction/core/control/jobs/ModelStateService.kt
@@ -36,7 +36,7 @@
             }
             is Change.JournalPage -> {
                 if (comparesVersions && versionOf(change) != change.record.version) return CommitOutcome.Failed()
-                pages[change.record.page] = change.record.copy(version = ++revision) to change.write
+                pages[change.record.page] = change.record.copy(version = ++revision) to change.writeId
             }
             is Change.MachineCheckpoints, is Change.Checkpoint -> revision++
         }
@@ -46,5 +46,5 @@
     fun versionOf(page: Change.JournalPage): Long = pages[page.record.page]?.first?.version ?: 0L
 
     /** Whether the page stands as [page] has it. */
-    fun has(page: Change.JournalPage): Boolean = pages[page.record.page]?.second == page.write
+    fun has(page: Change.JournalPage): Boolean = pages[page.record.page]?.second == page.writeId
 }
--- a/src/test/kotlin/org/honeyjunction/core/control/journal/PlacementJournalTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/control/journal/PlacementJournalTest.kt
@@ -94,7 +94,7 @@
     fun `a rewritten page keeps the entries that are still needed and drops the others`() {
         val starts = reserve(3)
         val result = job.tasks[9]
-        job.finish(result)
+        job.markDone(result)
         journal.add(result)
         state.committed(flushedPages().single().first, CommitOutcome.Applied(10))
         assertTrue(result.doneDurable)
@@ -149,7 +149,7 @@
             }
         var count = 0
         for (chunk in order.chunked(7_000)) {
-            chunk.forEach { n -> largeJob.tasks[n].let { if (largeJob.finish(it)) journal.add(it) } }
+            chunk.forEach { n -> largeJob.tasks[n].let { if (largeJob.markDone(it)) journal.add(it) } }
             repeat(20) {
                 for ((id, page) in flushedPages()) {
                     count++
--- a/src/test/kotlin/org/honeyjunction/core/control/leader/LeaderRecoveryTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/control/leader/LeaderRecoveryTest.kt
@@ -80,7 +80,7 @@
             0,
             0,
             4000,
-        ).also { it.leaseRenewed(Long.MAX_VALUE, 0) }
+        ).also { it.leaderLeaseRenewed(Long.MAX_VALUE, 0) }
 
     private fun heartbeat(session: Long, sequence: Long, withToken: Long, vararg tasks: ReportedTask) =
         Heartbeat("vm-1", "10.1.0.1:1", "t4", "x", false, session, sequence, withToken, null, tasks.asList())
@@ -191,7 +191,7 @@
     fun `a machine past its lease`(name: String, othersHeard: Boolean, leaseUntil: Long, seconds: Long, released: Int) {
         val leader = newLeader()
         leader.answerHeartbeat(heartbeat(1, 5, token, ReportedTask("j-1", 0, 77, TaskState.Running)), 10)
-        leader.leaseRenewed(leaseUntil, 10)
+        leader.leaderLeaseRenewed(leaseUntil, 10)
         for (i in 1L..seconds) {
             if (othersHeard) leader.answerHeartbeat(heartbeat(1, i, token).copy(machine = "vm-2"), i * 1000)
             leader.tick(i * 1000)
@@ -254,11 +254,11 @@
     fun `nothing is started once the leader lease may have expired`() {
         val leader = newLeader()
         leader.answerHeartbeat(heartbeat(1, 5, token), 10)
-        leader.leaseRenewed(20, 10)
+        leader.leaderLeaseRenewed(20, 10)
         leader.tick(600)
         leader.drainEffects().filterIsInstance<Effect.Commit>().forEach { leader.committed(it.id, CommitOutcome.Applied(10), 700) }
         assertEquals(emptyList<Effect>(), leader.drainEffects().filter { it is Effect.Send && it.commands.isNotEmpty() })
-        leader.leaseRenewed(5_000, 700)
+        leader.leaderLeaseRenewed(5_000, 700)
         leader.tick(800)
         assertEquals(2, leader.drainEffects().filterIsInstance<Effect.Send>().sumOf { it.commands.size })
     }
@@ -280,7 +280,7 @@
         for (t in 100L..1_000L step 100) leader.tick(t)
         val before = leader.drainEffects()
         val write = before.filterIsInstance<Effect.Commit>().first()
-        leader.leaseRenewed(5_000, 1_000)
+        leader.leaderLeaseRenewed(5_000, 1_000)
         val now = 14_000L
         when (first) {
             "a report comes first" -> assertEquals(token, leader.answerHeartbeat(heartbeat(1, 7, token), now)!!.token)
@@ -293,10 +293,10 @@
         leader.answerHeartbeat(heartbeat(1, 9, token), now + 10)
         leader.tick(now + 20)
         assertEquals(emptyList<Effect>(), leader.drainEffects().filter { it !is Effect.LogEvent }, first)
-        assertEquals(false, leader.isAllowedToAct(now + 30, withinLease = true))
+        assertEquals(false, leader.mayExecute(now + 30, needsLease = true))
         assertTrue(leader.answerHeartbeat(heartbeat(1, 10, token), now + 40) != null, "workers are answered")
-        assertEquals(emptyList<Effect>(), leader.drainEffects().filter { it is Effect.LogEvent && "UNREACHABLE" in it.what })
-        leader.leaseRenewed(now + 5_000, now + 50)
+        assertEquals(emptyList<Effect>(), leader.drainEffects().filter { it is Effect.LogEvent && "UNREACHABLE" in it.message })
+        leader.leaderLeaseRenewed(now + 5_000, now + 50)
         for (t in 100L..1_000L step 100) leader.tick(now + t)
         assertTrue(leader.drainEffects().any { it is Effect.Commit }, "it goes on once the lease is known to be renewed")
     }
@@ -306,7 +306,7 @@
     @CsvSource("within the lease, 9999999", "past the lease, 3000", "woken past the lease, 3000")
     fun `a cancelled task is stopped in any state of the leader`(state: String, leaseUntil: Long) {
         val leader = newLeader()
-        leader.leaseRenewed(leaseUntil, 0)
+        leader.leaderLeaseRenewed(leaseUntil, 0)
         leader.answerHeartbeat(heartbeat(1, 5, token, ReportedTask("j-1", 0, 77, TaskState.Running)), 10)
         leader.cancel("j-1", 20)
         leader.drainEffects().filterIsInstance<Effect.Commit>().forEach { leader.committed(it.id, CommitOutcome.Applied(10), 30) }
@@ -319,7 +319,7 @@
         for (now in from..from + 5_000 step 100) {
             leader.tick(now)
             for (e in leader.drainEffects().filterIsInstance<Effect.Send>()) {
-                assertTrue(e.startsNothing && leader.isAllowedToAct(now, withinLease = false), state)
+                assertTrue(e.startsNothing && leader.mayExecute(now, needsLease = false), state)
                 stops += e
                 leader.commandUnanswered(e.id, now)
             }
@@ -340,8 +340,8 @@
                 0,
                 0,
                 4000,
-                others = listOf("m"),
-            ).also { it.leaseRenewed(5_000, 0) }
+                otherControllers = listOf("m"),
+            ).also { it.leaderLeaseRenewed(5_000, 0) }
 
         fun answered(sequence: Long, now: Long) =
             leader.answerHeartbeat(heartbeat(1, sequence, token, ReportedTask("j-1", 0, 77, TaskState.Running)), now) != null
@@ -349,7 +349,7 @@
         assertEquals(listOf(true, true, false), listOf(answered(5, 10), answered(6, end - 1), answered(7, end)))
         assertTrue(leader.drainEffects().any { it is Effect.LogEvent && it.event == "renewals-stopped" })
         assertEquals(Phase.RUNNING, leader.placements().single().phase, "what it said is evidence all the same")
-        leader.termConfirmed("m", end, 90_000, end + 50)
+        leader.peerConfirmed("m", end, 90_000, end + 50)
         assertTrue(answered(8, end + 100))
         assertTrue(leader.drainEffects().any { it is Effect.LogEvent && it.event == "renewals-resumed" })
         leader.tick(end + 100 + ClusterSetup().workerLeaseMs)
@@ -370,7 +370,7 @@
                 0,
                 0,
                 4000,
-            ).also { it.leaseRenewed(5_000, 0) }
+            ).also { it.leaderLeaseRenewed(5_000, 0) }
         leader.tick(10)
         val sent = leader.drainEffects().filterIsInstance<Effect.Send>()
         assertEquals(mapOf("vm-1" to 1L, "vm-2" to 1L), sent.associate { it.machine to it.session })
--- a/src/test/kotlin/org/honeyjunction/core/control/machines/DelayedHeartbeatsTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/control/machines/DelayedHeartbeatsTest.kt
@@ -111,7 +111,7 @@
             val storedJobs = jobs.map { StoredJob(it, "n", 0, 9, JobStage.ACTIVE) }
             val recovered = RecoveredState(storedJobs, listOf(page), checkpoints)
             leader = Leader(setup.cluster(), Tuning(), TERM, "n", recovered, now, now, 4_000)
-            leader.leaseRenewed(Long.MAX_VALUE / 2, now)
+            leader.leaderLeaseRenewed(Long.MAX_VALUE / 2, now)
             if (case == Case.CANCELLED) leader.cancel("j-1", now)
             pass(20)
         }
@@ -259,7 +259,7 @@
     fun `nothing is started on a machine that has not acknowledged this term`() {
         val recovered = RecoveredState(listOf(StoredJob(job("j-1"), "n", 0, 9, JobStage.ACTIVE)), emptyList(), emptyList())
         val leader = Leader(setup.cluster(), Tuning(), TERM, "n", recovered, 0, 0, 4_000)
-        leader.leaseRenewed(Long.MAX_VALUE / 2, 0)
+        leader.leaderLeaseRenewed(Long.MAX_VALUE / 2, 0)
 
         fun starts(token: Long, sequence: Long, from: Long): Int {
             leader.answerHeartbeat(Heartbeat("vm-9", "10.1.0.1:1", "t4", "x", false, 1, sequence, token, null, emptyList()), from)
--- a/src/test/kotlin/org/honeyjunction/core/lease/RenewalBoundTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/lease/RenewalBoundTest.kt
@@ -50,7 +50,7 @@
             }
         }
         assertEquals(state, bound.on(Event.TimePassed(now)), case)
-        assertEquals(state == State.LEASED || state == State.GRACE_PERIOD, bound.renews, case)
+        assertEquals(state == State.LEASED || state == State.GRACE_PERIOD, bound.mayRenew, case)
     }
 
     @Test
@@ -99,7 +99,7 @@
             bound.on(Event.LaterTermObserved(now))
         }
 
-        override fun renews(now: Long) = bound.on(Event.TimePassed(now)).let { bound.renews }
+        override fun renews(now: Long) = bound.on(Event.TimePassed(now)).let { bound.mayRenew }
 
         override fun key(now: Long) = listOf(bound.state, (bound.noLaterTermUntil - now).coerceAtLeast(-CANCEL))
     }
--- a/src/test/kotlin/org/honeyjunction/wire/GoldenOutside.kt
+++ b/src/test/kotlin/org/honeyjunction/wire/GoldenOutside.kt
@@ -34,7 +34,7 @@
             30.5,
             (going + ended).mapIndexed { i, state -> ReportedTask("j-00041$i", 3 + i, 50L + i, state) },
         )
-    private val plainReport = report.copy(spot = false, noticeS = null, tasks = emptyList())
+    private val plainReport = report.copy(spot = false, spotNoticeS = null, tasks = emptyList())
 
     private fun commandsAgain(body: ByteArray) = OtherSide.commands(body).let { WorkerCodec.commands(it.token, it.session, it.commands) }
 
