--- a/src/main/kotlin/org/honeyjunction/core/control/leader/ClusterState.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/ClusterState.kt
@@ -20,7 +20,8 @@
 
 /**
  * The leader's view of the cluster: jobs, machines, and where each task is or may be. Every change of a placement passes
- * through here, which keeps the totals of teams and machines consistent with the placements. Times are steady milliseconds.
+ * through this class, which keeps the totals of teams and machines consistent with the placements. Times are monotonic
+ * milliseconds.
  */
 class ClusterState(val cluster: Cluster, val tuning: Tuning, val term: Long, val startedAt: Long = 0) {
     private val jobs = JobIndex()
@@ -37,7 +38,7 @@
     /** Machines for which commands may have become due since the last flush. */
     val machinesToSendTo = LinkedHashSet<Machine>()
 
-    /** What the environment is to do, in this order; see [Leader.drainEffects]. */
+    /** The effects to be executed by the environment, in order; see [Leader.drainEffects]. */
     val effects = ArrayList<Effect>()
     private val commits = HashMap<Long, (CommitOutcome) -> Unit>()
     private var sequence = 0L
@@ -45,10 +46,10 @@
     /** The time of the latest event. */
     var now = Long.MIN_VALUE / 2
 
-    /** Decides which effects may leave this process. */
+    /** Decides which effects may be executed. */
     val leaseGuard = LeaseGuard(startedAt)
 
-    /** Until then no other node can hold the leader lease; never, after a pause of the process past the end of its lease. */
+    /** No other node can hold the leader lease before this time; unknown after a suspension beyond the end of the lease. */
     val leaseValidUntil get() = if (leaseGuard.state == LeaseGuard.State.RESUMED_EXPIRED) Long.MIN_VALUE else leaseGuard.validUntil
 
     /** The rules in force. */
@@ -58,21 +59,25 @@
     /** The lowest fencing token of this term. */
     val termToken = term shl SEQUENCE_BITS
 
-    /** A number that no leader uses twice: attempts, messages and the names of scale-out requests are made of it. */
+    /** A number that is unique across terms. It identifies attempts, messages and scale-out requests. */
     fun nextSequence(): Long = (term shl SEQUENCE_BITS) or ++sequence
 
-    /** All machines but those that are gone. */
+    /** All machines except those that are gone. */
     val machines: Collection<Machine> get() = machineIndex.present
 
+    /** The job with the identifier [id]; null if it is not known. */
     fun job(id: String): Job? = jobs.find(id)
 
+    /** The job with the dense index [index]; null if it is not known. */
     fun jobAt(index: Int): Job? = jobs.at(index)
 
+    /** The machine called [name], even if it has been removed recently; null if it is not known. */
     fun machine(name: String): Machine? = machineIndex.find(name)
 
+    /** The machine with the dense index [index]; null if it is not known. */
     fun machineAt(index: Int): Machine? = machineIndex.at(index)
 
-    /** Adds a job unless it is known; returns the known or the new one. */
+    /** Returns the job of [stored], which is added if it is not known yet. */
     fun addJob(stored: StoredJob, now: Long, wallNow: Long): Job {
         job(stored.spec.id)?.let { return it }
         val age = (wallNow - stored.createdAtWall).coerceAtLeast(0)
@@ -89,24 +94,24 @@
         job.shape = ruleBook.shape(job.spec)
         job.enter(stored.stage)
         jobs.add(job)
-        if (stored.stage == JobStage.ACTIVE) jobs.activate(job) else forgetLater(job, now)
+        if (stored.stage == JobStage.ACTIVE) jobs.activate(job) else scheduleRemoval(job, now)
         return job
     }
 
-    /** [job] is not active any more. */
+    /** Takes [job], which has ended, off the active jobs. */
     fun finishJob(job: Job, now: Long) {
-        if (jobs.deactivate(job)) forgetLater(job, now)
+        if (jobs.deactivate(job)) scheduleRemoval(job, now)
     }
 
-    /** Once no machine can have a task of a finished job, the job is answered from its terminal record. */
-    private fun forgetLater(job: Job, now: Long) {
+    /** Forgets a finished job once no machine can have a task of it. Its status is then read from its terminal record. */
+    private fun scheduleRemoval(job: Job, now: Long) {
         removals.add(now) {
             if (job.placements.isEmpty()) jobs.forget(job)
             job.placements.isEmpty()
         }
     }
 
-    /** Adds a machine unless it is known; returns the known or the new one. */
+    /** Returns the machine called [name], which is added if it is not known yet. */
     fun addMachine(name: String, now: Long): Machine =
         machine(name) ?: Machine(machineIndex.indexOf(name), name, WorkerLease(cluster.leaseMs, termToken)).also {
             it.token = termToken
@@ -114,41 +119,41 @@
             machineIndex.add(it)
         }
 
-    /** The cloud has confirmed that [machine] is gone, with all that was on it. */
+    /** Removes [machine] and its placements; the cloud has confirmed that the machine is gone. */
     fun removeMachine(machine: Machine, now: Long) {
         machine.placements.values.toList().forEach { remove(it, now) }
         machine.enter(MachinePhase.GONE)
         machine.images.clear()
         machineIndex.remove(machine)
         machinesToSendTo -= machine
-        // The name is remembered for a while: delayed lists and heartbeats must not add the machine again.
+        // The name is remembered for a while, so that delayed lists and heartbeats do not add the machine again.
         removals.add(now) {
             machineIndex.forget(machine)
             true
         }
     }
 
-    /** Forgets finished jobs and removed machines whose retention is over. */
+    /** Forgets finished jobs and removed machines whose retention period has ended. */
     fun purgeRemoved(now: Long) = removals.purge(now)
 
-    /** Sets what the worker or the cloud reports of [machine]; a null [address] is not known and changes nothing. */
+    /** Sets the attributes of [machine] that its worker or the cloud reports. A null [address] is unknown and changes nothing. */
     fun describe(machine: Machine, address: String?, type: String, zone: String, spot: Boolean) {
         if (address != null) machine.address = address
         machine.type = cluster.typeNames.indexWithin(type, Cluster.MAX_TYPES)
-        // No task can be started in a zone that the settings do not define.
+        // A zone that the settings do not define becomes ABSENT, and no task can be started there.
         machine.zone = cluster.zones.find(zone)
         machine.spot = spot
         machine.place = ruleBook.place(machine.name, machine.type, machine.zone, spot)
     }
 
-    /** From now on starts obey [rules]; running tasks are not stopped. */
+    /** Puts [rules] in force for later starts. Running tasks are not stopped. */
     fun useRules(rules: RuleSet) {
         ruleBook = RuleBook(cluster, rules)
         jobs.forEach { it.shape = ruleBook.shape(it.spec) }
         machines.forEach { it.place = ruleBook.place(it.name, it.type, it.zone, it.spot) }
     }
 
-    /** [machine] as the rules see it, without the placements in [leaving]. */
+    /** The properties of [machine] that rules refer to, without the placements in [leaving]. */
     fun ruleContext(machine: Machine, leaving: Set<Placement> = emptySet()): RuleTable.Scene =
         if (ruleBook.empty) {
             RuleTable.Scene.NOWHERE
@@ -156,7 +161,7 @@
             RuleTable.Scene(machine.place, runningShapes(machine, leaving), machine.images.keys.toIntArray())
         }
 
-    /** The shapes of the tasks that are or may be on [machine], without those in [leaving]. */
+    /** The rule shapes of the tasks that are or may be on [machine], without the placements in [leaving]. */
     fun runningShapes(machine: Machine, leaving: Set<Placement> = emptySet()): IntArray =
         if (ruleBook.empty) {
             RuleTable.Scene.NOWHERE.running
@@ -167,15 +172,15 @@
                 .toIntArray()
         }
 
-    /** The places of the job's other tasks than [task]; empty unless a rule needs them. */
+    /** The rule places of the machines that have tasks of [job] other than [task]; empty unless a rule needs them. */
     fun siblingPlaces(job: Job, task: Task?): List<Int> =
         if (!ruleBook.table.asksSame(job.shape)) emptyList() else job.placements.filter { it.task !== task }.map { it.machine.place }
 
-    /** The mandatory rule that forbids [task] of [job] to start on [machine] at this moment; null: none. */
+    /** The mandatory rule that currently forbids starting [task] of [job] on [machine]; null if there is none. */
     fun violatedRule(job: Job, task: Task?, machine: Machine): RuleTable.Breach? =
         if (job.shape < 0) null else ruleBook.table.barred(job.shape, ruleContext(machine), siblingPlaces(job, task))
 
-    /** Records that [attempt] of [task] is or may be on [machine]; replaces an earlier attempt there. */
+    /** Records that [attempt] of [task] is or may be on [machine]. Replaces an earlier attempt on the same machine. */
     fun place(task: Task, machine: Machine, attempt: Long, phase: Phase, now: Long): Placement {
         val placement = Placement(task, machine, attempt, phase, now)
         machine.placements[task.id]?.let { unlink(it) }
@@ -183,20 +188,21 @@
         task.job.add(placement)
         machine.recomputeUsage()
         teams.add(task.job.team, task.job.spec.need)
-        // A start known only from the journal may be long over: it does not end the idle time of its machine.
+        // A task that is known only from the journal may have ended long ago, so it does not end the idle time of its machine.
         if (phase != Phase.UNCONFIRMED) machine.idleSince = Long.MIN_VALUE
         machinesToSendTo += machine
         cluster.types[machine.type]?.let { machine.recordImage(task.job.image, task.job.spec.imageGb, it.cacheGb) }
         return placement
     }
 
-    /** The task is not there any more, or never was: the caller has the evidence. */
+    /** Removes [placement]. The caller must have proof that the task is not on the machine any more or never was. */
     fun remove(placement: Placement, now: Long) {
         if (placement.removed) return
         val machine = placement.machine
         unlink(placement)
-        // A worker cancels a fetch that no task needs. An attempt that an earlier leader started has most likely fetched its
-        // image: if that were forgotten, all tasks of a zone that recovers would go where the image is fetched again.
+        // A worker cancels the fetch of an image that no task needs. But an attempt that an earlier leader started has most likely
+        // fetched its image. If the image were forgotten, all tasks of a recovering zone would be placed where it must be fetched
+        // again.
         if (placement.phase <= Phase.FETCHING &&
             placement.phase != Phase.UNCONFIRMED &&
             machine.placements.values.none { it.task.job.image == placement.task.job.image }
@@ -217,32 +223,32 @@
         teams.remove(placement.task.job.team, placement.task.job.spec.need)
     }
 
-    /** The resources that the placements of a team use. */
+    /** The resources used by the placements of [team]. */
     fun usage(team: Int): Resources = teams.usage(team)
 
-    /** The number of placements of a team. */
+    /** The number of placements of [team]. */
     fun placementCount(team: Int): Int = teams.placements(team)
 
     /** The free capacity of [machine]. */
     fun freeCapacity(machine: Machine): Resources = (cluster.types[machine.type]?.size ?: Resources.NONE) - machine.used
 
-    /** The job that [machine] is reserved for, while that job has waiting tasks. */
+    /** The job that [machine] is reserved for; null if there is none, or if the job has no waiting tasks that may be started. */
     fun reservedFor(machine: Machine, now: Long): Job? = jobAt(machine.reservedForAt(now))?.takeIf { it.startable && !it.waiting.isEmpty }
 
-    /** Requests a compare-and-swap of [changes]; [onOutcome] is called with its outcome. */
+    /** Requests a compare-and-swap of [changes]; [onOutcome] will be called with the outcome. */
     fun commit(changes: List<Change>, onOutcome: (CommitOutcome) -> Unit) {
         val id = nextSequence()
         commits[id] = onOutcome
         effects += Effect.Commit(id, changes)
     }
 
-    /** The outcome of the commit [id]; repeated or unknown ones are ignored. */
+    /** Handles the outcome of the commit [id]. Repeated outcomes and those of unknown commits are ignored. */
     fun committed(id: Long, outcome: CommitOutcome) {
         commits.remove(id)?.invoke(outcome)
     }
 
     companion object {
-        /** The number of low bits of tokens and attempts that are a sequence number; the bits above are the term. */
+        /** The number of low bits of tokens and attempts that hold a sequence number; the bits above hold the term. */
         const val SEQUENCE_BITS = 24
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/ClusterStatistics.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/ClusterStatistics.kt
@@ -5,15 +5,15 @@
 import org.honeyjunction.core.model.MachinePhase
 import org.honeyjunction.core.model.Phase
 
-/** One line for the log: machines by phase, accelerators by the phase of their tasks, and waiting tasks. */
+/** Machines by phase, GPUs by the phase of their tasks, and waiting tasks, as one line for the log. */
 fun ClusterState.statistics(): String {
     val phases = machines.groupingBy { it.phase }.eachCount()
-    val inUse = JobKind.entries.associateWith(::acceleratorsByPhase)
+    val inUse = JobKind.entries.associateWith(::gpusByPhase)
     val up = machines.filter { it.phase == MachinePhase.UP }
     val empty = up.count { it.placements.isEmpty() }
     val free = up.sumOf { freeCapacity(it).gpus }
     val waiting = JobKind.entries.associateWith { kind -> active.values.filter { it.spec.kind == kind }.sumOf { it.waiting.cardinality() } }
-    // Images that are fetched at the same time share a machine's rate.
+    // Images that a machine fetches at the same time share its bandwidth.
     val fetches =
         machines
             .map(::imagesBeingFetched)
@@ -25,15 +25,15 @@
         "fetching images at once $fetches, waiting $waiting, jobs ${active.size}"
 }
 
-private fun ClusterState.acceleratorsByPhase(kind: JobKind): Map<Phase, Double> {
-    val accelerators = HashMap<Phase, Double>()
+private fun ClusterState.gpusByPhase(kind: JobKind): Map<Phase, Double> {
+    val gpus = HashMap<Phase, Double>()
     for (machine in machines) {
         for (placement in machine.placements.values) {
             val spec = placement.task.job.spec
-            if (spec.kind == kind) accelerators.merge(placement.phase, spec.need.gpus, Double::plus)
+            if (spec.kind == kind) gpus.merge(placement.phase, spec.need.gpus, Double::plus)
         }
     }
-    return accelerators.toSortedMap()
+    return gpus.toSortedMap()
 }
 
 private fun imagesBeingFetched(machine: Machine): Int =
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/HeartbeatResponder.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/HeartbeatResponder.kt
@@ -10,16 +10,16 @@
 import org.honeyjunction.core.model.JobStage
 
 /**
- * Answers workers' heartbeats. The contents of a heartbeat are evidence in any case; an answer renews the worker's lease and
- * therefore needs the right to renew leases, and a fencing token of a higher term ends that right for good.
+ * Answers workers' heartbeats. The leader processes the contents of every heartbeat. An answer renews the worker's lease, so the
+ * leader needs the right to renew leases. It loses that right for good when a worker reports a fencing token of a later term.
  */
 internal class HeartbeatResponder(private val components: LeaderComponents, private val renewals: WorkerLeaseRenewals) {
     private val state = components.state
-    private var higherTermObserved = false
+    private var laterTermObserved = false
 
-    /** Processes [heartbeat]; null when this node has no right to answer it. */
+    /** Processes [heartbeat]. Returns null if this node has no right to answer it. */
     fun answer(heartbeat: Heartbeat, now: Long): HeartbeatResponse? {
-        if (observesHigherTerm(heartbeat.token)) return null
+        if (observesLaterTerm(heartbeat.token)) return null
         components.heartbeats.process(heartbeat, now, isHeartbeat = true)
         renewals.timePassed(now)
         if (!renewals.allowed) {
@@ -32,22 +32,22 @@
         return HeartbeatResponse(machine.token, heartbeat.tasks.mapNotNull(::commandFor).take(MAX_COMMANDS))
     }
 
-    /** Processes a status that came as the answer to a command. */
+    /** Processes the status that a worker sent as the answer to a command. */
     fun processCommandAnswer(heartbeat: Heartbeat, now: Long) {
-        if (!observesHigherTerm(heartbeat.token)) components.heartbeats.process(heartbeat, now)
+        if (!observesLaterTerm(heartbeat.token)) components.heartbeats.process(heartbeat, now)
     }
 
-    private fun observesHigherTerm(token: Long): Boolean {
+    private fun observesLaterTerm(token: Long): Boolean {
         if (token shr ClusterState.SEQUENCE_BITS <= state.term) return false
-        if (!higherTermObserved) state.effects += Effect.StepDown("a worker has seen a higher term")
-        higherTermObserved = true
+        if (!laterTermObserved) state.effects += Effect.StepDown("a worker has seen a higher term")
+        laterTermObserved = true
         renewals.superseded(state.now)
         return true
     }
 
     /**
-     * An answer carries only commands that are safe to repeat: an ended attempt is forgotten, and an unwanted one is stopped,
-     * so that both work where no separate command reaches the worker.
+     * The command about [reported] that the answer carries: to forget an ended attempt, or to stop a useless one. So both work even
+     * if no separate command reaches the worker. All commands are idempotent.
      */
     private fun commandFor(reported: ReportedTask): Command? =
         when {
@@ -56,7 +56,7 @@
             else -> null
         }
 
-    /** A result must be durable before the worker, which has its only other copy, may forget it. */
+    /** Whether the worker may forget an ended attempt: its result must be durable, since the worker holds the only other copy. */
     private fun mayForget(reported: ReportedTask): Boolean {
         val ended = reported.state as TaskState.Ended
         val job = state.job(reported.job) ?: return ended.cause != TerminationReason.DONE
@@ -66,7 +66,7 @@
     }
 
     private companion object {
-        /** Some 70 bytes each: no line of an answer may be longer than 64 KiB. The rest follows with the next heartbeat. */
+        /** At about 70 bytes each, they keep an answer's line below its maximum of 64 KiB. The rest follows with the next heartbeat. */
         const val MAX_COMMANDS = 600
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/Leader.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/Leader.kt
@@ -21,11 +21,11 @@
 import org.honeyjunction.core.rules.RuleSet
 
 /**
- * The leader of one term, which controls all machines. Events and their time go in, effects come out ([drainEffects]); it
- * does no input or output and reads no clock. It is used from one thread.
+ * The leader of one term, which controls all machines. It receives events with their times and produces effects ([drainEffects]);
+ * it performs no input or output and reads no clock. It must be used from a single thread.
  *
- * Each public function takes one event or answers one question and passes it to the component that is in charge. `now` is
- * always in steady milliseconds, `wallNow` in wall-clock milliseconds.
+ * Each public function handles one event or answers one query, and delegates to the component in charge. `now` is always in
+ * monotonic milliseconds, `wallNow` in wall-clock milliseconds.
  */
 class Leader(
     cluster: Cluster,
@@ -55,14 +55,14 @@
 
     // Time and effects
 
-    /** To be called ten times a second. */
+    /** Does the periodic work. To be called every 100 ms. */
     fun tick(now: Long) {
         advanceTo(now)
         renewals.timePassed(now)
         periodicWork.tick(now)
     }
 
-    /** Every event starts here: a pause of the process must be noticed before anything is decided. */
+    /** Called first for every event, so that a suspension of the process is noticed before anything is decided. */
     private fun advanceTo(now: Long) {
         state.now = now
         val pauseMs = state.leaseGuard.recordTick(now)
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Takes the effects that may be carried out now, in their order. After a pause past the end of the leader lease all others
-     * wait until the lease is renewed.
+     * Removes and returns the effects that may be executed now, in order. After a suspension beyond the end of the leader lease,
+     * the effects that need the lease are held back until it is renewed.
      */
     fun drainEffects(): List<Effect> {
         if (state.leaseGuard.state != LeaseGuard.State.RESUMED_EXPIRED) return ArrayList(state.effects).also { state.effects.clear() }
@@ -91,8 +91,8 @@
         }
 
     /**
-     * Whether an effect that was decided earlier may still be carried out. Starting tasks, scaling out and scaling in need the
-     * leader lease; stopping tasks does not, since it is safe to repeat.
+     * Whether an effect that was decided earlier may still be executed; [needsLease]: whether the effect needs the leader lease.
+     * Starting tasks, scaling out and scaling in need it; stopping tasks does not, since a stop is idempotent.
      */
     fun mayExecute(now: Long, needsLease: Boolean): Boolean {
         advanceTo(now)
@@ -101,29 +101,30 @@
 
     // The leader lease and its confirmation by peers
 
-    /** This node holds the leader lease until then. */
+    /** The leader lease was renewed: this node holds it until [until]. */
     fun leaderLeaseRenewed(until: Long, now: Long) {
         state.leaseGuard.renewed(until, now)
         renewals.leaderLeaseRenewed(until, now)
     }
 
-    /** Whether the leader lease alone allows renewing workers' leases, without the confirmation of peers. */
+    /** Whether the leader lease is valid, so that workers' leases may be renewed without confirmations by peers. */
     fun holdsLeaderLease(now: Long): Boolean = renewals.timePassed(now) == RenewalBound.State.LEASED
 
-    /** The controller [by] answered a request sent at [askedAt] that it knew of no later term, and that it had been up for [upMs]. */
+    /** The controller [by] confirmed, on a request sent at [askedAt], that it knew of no later term and had been up for [upMs]. */
     fun peerConfirmed(by: String, askedAt: Long, upMs: Long, now: Long) = renewals.peerConfirmed(by, askedAt, upMs, now)
 
     // Workers
 
-    /** Processes a worker's heartbeat; null when this node has no right to answer it. */
+    /** Processes a worker's heartbeat. Returns null if this node has no right to answer it. */
     fun answerHeartbeat(heartbeat: Heartbeat, now: Long): HeartbeatResponse? {
         advanceTo(now)
         return heartbeatResponder.answer(heartbeat, now)
     }
 
-    /** Whether there are machines that should have sent heartbeats by now, had these come through. */
+    /** Whether there are machines whose heartbeats should have arrived by now. */
     fun expectsHeartbeats(now: Long): Boolean =
-        now - startedAt > state.cluster.heartbeatIntervalMs * HEARTBEATS_EXPECTED_AFTER && state.machines.any { it.phase in REPORTING }
+        now - startedAt > state.cluster.heartbeatIntervalMs * HEARTBEATS_EXPECTED_AFTER &&
+            state.machines.any { it.phase in HEARTBEAT_PHASES }
 
     /** The worker has executed the commands of message [id]; [heartbeat] is its status after them. */
     fun commandExecuted(id: Long, heartbeat: Heartbeat, now: Long) {
@@ -132,26 +133,26 @@
         components.flush(now)
     }
 
-    /** The worker refused message [id] since its fencing token or incarnation did not match. */
+    /** The worker rejected message [id], because its fencing token or incarnation did not match. */
     fun commandRejected(id: Long, heartbeat: Heartbeat, now: Long) {
         advanceTo(now)
         components.dispatcher.rejected(id, heartbeat, now) { heartbeatResponder.processCommandAnswer(it, now) }
         components.flush(now)
     }
 
-    /** Message [id] was not answered; it may still be executed late. */
+    /** Message [id] was not answered. Its commands may still be executed later. */
     fun commandUnanswered(id: Long, now: Long) = components.dispatcher.unanswered(id, now)
 
     // The key-value store
 
-    /** The outcome of [Effect.Commit]. */
+    /** Handles the outcome of [Effect.Commit]. */
     fun committed(id: Long, outcome: CommitOutcome, now: Long) {
         advanceTo(now)
         state.committed(id, outcome)
         components.flush(now)
     }
 
-    /** The outcome of [Effect.ReadJobRecord]. */
+    /** Handles the result of [Effect.ReadJobRecord]. */
     fun jobRecordRead(job: String, found: JobRecord, now: Long) {
         advanceTo(now)
         state.job(job)?.let { components.lifecycle.recordRead(it, found, now) }
@@ -160,7 +161,7 @@
 
     // Jobs
 
-    /** A stored job was found; nothing happens if it is known. */
+    /** Adds a job that was found in the key-value store, unless it is known already. */
     fun jobObserved(stored: StoredJob, now: Long, wallNow: Long) {
         if (state.job(stored.spec.id) != null) return
         val job = state.addJob(stored, now, wallNow)
@@ -176,24 +177,24 @@
         return job.stage
     }
 
-    /** Null for an unknown job. */
+    /** The status of a job; null for an unknown job. */
     fun status(id: String): JobStatus? = state.job(id)?.let { JobStatus(it.stage, it.doneCount, it.running) }
 
     /**
-     * As [status], but null also while the terminal record is being written or its outcome is unknown: it may be durable
-     * already and others may read it; see [TerminalRecord].
+     * Like [status], but also null while the terminal record is being written or its outcome is unknown. The record may be durable
+     * already, so that others can read it; see [TerminalRecord].
      */
     fun confirmedStatus(id: String): JobStatus? = status(id)?.takeIf { state.job(id)!!.terminalRecord.answerableFromMemory }
 
-    /** Why each task of the job is where it is, [most] tasks at most from number [first] on; null for an unknown job. */
-    fun explain(id: String, first: Int, most: Int, now: Long): List<Explanation>? = diagnostics.explain(id, first, most, now)
+    /** Explains the placement of each task of the job, for at most [limit] tasks from number [first] on; null for an unknown job. */
+    fun explain(id: String, first: Int, limit: Int, now: Long): List<Explanation>? = diagnostics.explain(id, first, limit, now)
 
     // Admission
 
-    /** Whether there are as many unfinished tasks as memory is provisioned for: more must wait outside. */
+    /** Whether there are more unfinished tasks than memory is provisioned for, so that no further jobs may be admitted. */
     val taskLimitReached: Boolean get() = taskLimit.reached
 
-    /** The teams with more unfinished tasks than their fair share by [weights]; none while there is room enough. */
+    /** The teams with more unfinished tasks than their weighted fair share; empty while the limit is far from reached. */
     fun teamsOverTaskShare(weights: Map<String, Double>): Set<String> = taskLimit.teamsOverShare(weights)
 
     // Placement by peers
@@ -201,7 +202,7 @@
     /** The waiting tasks of the jobs that [peer] owns; the request shows that [peer] is alive. */
     fun summaryFor(peer: String, now: Long): Summary = periodicWork.summaryFor(peer, now)
 
-    /** Returns for each proposed placement whether it was accepted. */
+    /** Accepts those of the proposed placements that are still possible. Returns for each proposal whether it was accepted. */
     fun acceptProposals(proposals: List<Proposal>, now: Long): List<Boolean> {
         advanceTo(now)
         if (state.leaseGuard.state == LeaseGuard.State.RESUMED_EXPIRED) return proposals.map { false }
@@ -212,42 +213,51 @@
 
     // The cloud
 
+    /** The cloud returned the list of rented machines. */
     fun machinesListed(machines: List<ListedMachine>, now: Long) = components.autoscaler.listed(machines, now)
 
+    /** The cloud rented [machines] for [request], fewer than requested if it ran out of capacity. */
     fun scaleOutCompleted(request: String, machines: List<String>, now: Long) = components.autoscaler.rented(request, machines, now)
 
+    /** The cloud refused [request]. */
     fun scaleOutRefused(request: String, now: Long) = components.autoscaler.rentalRefused(request, now)
 
+    /** The cloud did not answer [request], so that it may have rented machines. */
     fun scaleOutOutcomeUnknown(request: String, now: Long) = components.autoscaler.rentalUnknown(request, now)
 
+    /** A request to release [machines] ended; if not [confirmed], its outcome is unknown and it will be repeated. */
     fun scaleInCompleted(machines: List<String>, confirmed: Boolean, now: Long) = components.autoscaler.released(machines, confirmed, now)
 
     // Rules
 
+    /** The version of the operators' rules in force. */
     val rulesVersion: Long get() = state.ruleBook.set.version
 
-    /** From now on starts obey these rules of the operators; a version that is not newer than the present one changes nothing. */
+    /** Puts the operators' [rules] in force for later starts, unless their version is not newer than the current one. */
     fun useRules(rules: RuleSet) = rulesInForce.useOperatorRules(rules)
 
-    /** Replaces the rules that belong to jobs rather than to the operators. */
+    /** Replaces the rules that jobs bring along, as opposed to the operators' rules. */
     fun useJobRules(rules: List<Rule>) = rulesInForce.useJobRules(rules)
 
     // Statistics
 
+    /** The state of the cluster as one line for the log. */
     fun statistics(): String = diagnostics.statistics()
 
-    /** For each class and team: how many of the jobs that have had time to start were started. */
+    /** For each class and team: how many of the jobs that have had enough time to start were started. */
     fun servedCounts(now: Long): Map<FairnessGroup, ServedCount> = diagnostics.servedCounts(now)
 
-    /** The classes and teams with less than half of their jobs started although machines have had room for a waiting one. */
+    /** The classes and teams with less than half of their jobs started although machines had free capacity for a waiting one. */
     fun starvedGroups(now: Long): Map<FairnessGroup, ServedCount> = diagnostics.starvedGroups(now)
 
-    /** The jobs that have waited beside free capacity that they may use for longer than they should. */
+    /** The jobs that have waited for too long although there was free capacity that they may use. */
     fun stalledJobs(now: Long): List<StalledJob> = diagnostics.stalledJobs(now)
 
     private companion object {
-        /** In heartbeat intervals, from the beginning of the term. */
+        /** Heartbeats are expected after this many heartbeat intervals from the beginning of the term. */
         const val HEARTBEATS_EXPECTED_AFTER = 3
-        val REPORTING = setOf(MachinePhase.UP, MachinePhase.SUSPECTED, MachinePhase.UNCONFIRMED, MachinePhase.UNREACHABLE)
+
+        /** The phases in which a worker should send heartbeats. */
+        val HEARTBEAT_PHASES = setOf(MachinePhase.UP, MachinePhase.SUSPECTED, MachinePhase.UNCONFIRMED, MachinePhase.UNREACHABLE)
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderComponents.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderComponents.kt
@@ -19,7 +19,7 @@
 import org.honeyjunction.core.model.Cluster
 import org.honeyjunction.core.rules.RuleSet
 
-/** The components of one leader, wired together; they share one [state] and are used from one thread. */
+/** Creates and connects the components of one leader. They share one [state] and must be used from a single thread. */
 internal class LeaderComponents(
     cluster: Cluster,
     tuning: Tuning,
@@ -39,7 +39,7 @@
     val zones = ZoneHealthMonitor(state, startedAt)
     val queue = PendingQueue(state)
 
-    /** Only where rules are enabled: it costs memory, and time with each start. */
+    /** Null where rules are disabled, because explanations cost memory, and time with each start. */
     val explainer = if (tuning.rules) Explainer(state, queue, failures) else null
     val dispatcher = TaskDispatcher(state, journal, explainer)
     val checkpoints = CheckpointWriter(state, failures, bootTimes, fairness, wallNow - startedAt)
@@ -49,7 +49,7 @@
     val preemption = PreemptionPlanner(state, queue, autoscaler)
     val consolidation = Consolidation(state, autoscaler)
 
-    /** Requests the writes and sends the commands that an event has made necessary. */
+    /** Requests the writes and sends the commands that an event has made necessary. Called after every event. */
     fun flush(now: Long) {
         lifecycle.flush(now)
         journal.flush(now)
@@ -57,8 +57,10 @@
     }
 
     private companion object {
-        /** A job that has waited for the duration of this many machine boots counts as not started in time. */
+        /** A job is started in time if it does not wait for longer than this many machine boots take. */
         const val START_WITHIN_BOOTS = 4
+
+        /** The boot time that is assumed while no machine type is known. */
         const val DEFAULT_BOOT_MS = 60_000.0
 
         fun startWithinMs(cluster: Cluster): Long =
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderDiagnostics.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderDiagnostics.kt
@@ -9,11 +9,11 @@
 import org.honeyjunction.core.fairness.ServedCount
 import org.honeyjunction.core.model.Job
 
-/** What operators and users are shown of the leader's decisions; nothing here changes the state. */
+/** Statistics and explanations of the leader's decisions for operators and users. Nothing here changes the state. */
 internal class LeaderDiagnostics(private val components: LeaderComponents) {
     private val state = components.state
 
-    /** One line for the log. */
+    /** The state of the cluster as one line for the log. */
     fun statistics(): String =
         listOf(
             state.statistics(),
@@ -28,11 +28,11 @@
             .filter { it.value.starved }
             .map { (group, count) -> "$group ${count.started} of ${count.accepted}" }
 
-    /** For each class and team: how many of the jobs that have had time to start were started. */
+    /** For each class and team: how many of the jobs that have had enough time to start were started. */
     fun servedCounts(now: Long): Map<FairnessGroup, ServedCount> =
         components.fairness.counts(state.active.values.asSequence().map { it.counted(now) })
 
-    /** The classes and teams with less than half of their jobs started although machines have had room for a waiting one. */
+    /** The classes and teams with less than half of their jobs started although machines had free capacity for a waiting one. */
     fun starvedGroups(now: Long): Map<FairnessGroup, ServedCount> {
         val stalled = stalledJobs(now).filter { it.reason == PendingReason.NONE }.mapNotNull { state.job(it.job) }
         return servedCounts(now).filter { (group, count) ->
@@ -40,22 +40,22 @@
         }
     }
 
-    /** The jobs that have waited beside free capacity that they may use for longer than they should. */
+    /** The jobs that have waited for too long although there was free capacity that they may use. */
     fun stalledJobs(now: Long): List<StalledJob> = components.workConservation.stalled(now)
 
     /** See [Leader.explain]. */
-    fun explain(id: String, first: Int, most: Int, now: Long): List<Explanation>? {
+    fun explain(id: String, first: Int, limit: Int, now: Long): List<Explanation>? {
         val explainer = components.explainer ?: return null
         explainer.begin()
-        val job = state.job(id) ?: return explainer.rememberedTasks(id, first, most, now)
+        val job = state.job(id) ?: return explainer.rememberedTasks(id, first, limit, now)
         val freeCapacity = freeCapacityBeside(job, now)
         val context = startedCounts(job, now) + listOfNotNull(freeCapacity)
-        return (first until minOf(job.tasks.size, first + most)).mapNotNull { explainer.explain(job.tasks[it], now, context) }
+        return (first until minOf(job.tasks.size, first + limit)).mapNotNull { explainer.explain(job.tasks[it], now, context) }
     }
 
-    /** What is remembered of the tasks of a job that is not in the state any more. */
-    private fun Explainer.rememberedTasks(id: String, first: Int, most: Int, now: Long): List<Explanation>? =
-        (first until first + most).mapNotNull { remembered("$id/$it", now) }.ifEmpty { null }
+    /** The remembered explanations for the tasks of a job that is not in the state any more; null if there are none. */
+    private fun Explainer.rememberedTasks(id: String, first: Int, limit: Int, now: Long): List<Explanation>? =
+        (first until first + limit).mapNotNull { remembered("$id/$it", now) }.ifEmpty { null }
 
     private fun freeCapacityBeside(job: Job, now: Long): String? =
         components.workConservation.of(job, now)?.let {
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderRecovery.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderRecovery.kt
@@ -18,14 +18,15 @@
 import java.util.BitSet
 
 /**
- * Rebuilds the state of a new leader from what earlier terms stored. What is read is only the upper bound of what may be on
- * machines: recovered placements and machines are unconfirmed until the workers' heartbeats prove or disprove them.
+ * Rebuilds the state of a new leader from the records of earlier terms. The records are only an upper bound of what may be running:
+ * recovered placements and machines are unconfirmed until the workers' heartbeats confirm or refute them.
  *
- * [now] is steady, [wallNow] wall-clock time of the same moment, in milliseconds.
+ * [now] and [wallNow] are the same moment in monotonic and in wall-clock milliseconds.
  */
 internal class LeaderRecovery(private val components: LeaderComponents, private val now: Long, private val wallNow: Long) {
     private val state = components.state
 
+    /** Adds the contents of [recovered] to the state. */
     fun recover(recovered: RecoveredState) {
         recovered.jobs.forEach { state.addJob(it, now, wallNow) }
         recovered.machines.forEach(::recoverMachine)
@@ -39,12 +40,12 @@
         state.describe(machine, checkpoint.address, checkpoint.type, checkpoint.zone, checkpoint.spot)
         machine.enter(MachinePhase.UNCONFIRMED)
         machine.lease = WorkerLease(state.cluster.leaseMs, state.termToken, checkpoint.session)
-        // The idle time of a rented machine goes on across terms, unless the machine turns out to have tasks.
+        // The idle time of a machine continues across terms, unless the machine turns out to have tasks.
         checkpoint.idleSinceWall?.let { machine.idleSince = now - (wallNow - it).coerceAtLeast(0) }
         checkpoint.images.forEach { (name, gb) -> machine.images[state.cluster.images.index(name)] = gb }
     }
 
-    /** The results of all pages come first: a task that is done need not be looked for on any machine. */
+    /** Recovers the results of all pages before any start, since a task that is done needs no placement. */
     private fun recoverJournal(pages: List<JournalPageRecord>) {
         val results = pages.associateWith { page -> page.done.flatMap { (job, numbers) -> tasks(job, numbers) } }
         results.values.flatten().forEach(components.lifecycle::restore)
@@ -56,13 +57,13 @@
     private fun tasks(job: String, numbers: BitSet): List<Task> =
         state.job(job)?.tasks?.let { all -> numbers.stream().toArray().asList().mapNotNull(all::getOrNull) }.orEmpty()
 
-    /** Null for a start that is not needed any more. */
+    /** Recovers the placement of a recorded start; null if the start is not needed any more. */
     private fun recoverStart(start: RecordedStart): Placement? {
         val task = state.job(start.job)?.tasks?.getOrNull(start.number) ?: return null
         if (task.doneDurable) return null
         val machine = state.addMachine(start.machine, now)
         if (machine.phase == MachinePhase.BOOTING) machine.enter(MachinePhase.UNCONFIRMED)
-        // Of two attempts on one machine the later one counts: it was started after the earlier one had ended.
+        // Of two attempts on one machine only the later one counts, since it was started after the earlier one had ended.
         machine.placements[task.id]?.let { if (it.attempt >= start.attempt) return null }
         val placement = state.place(task, machine, start.attempt, Phase.UNCONFIRMED, now)
         if (task.job.stage != JobStage.ACTIVE) placement.requestStop(0.0)
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/PeriodicWork.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/PeriodicWork.kt
@@ -7,37 +7,38 @@
 import org.honeyjunction.core.placement.Summary
 
 /**
- * What the leader does on each tick and, less often, in rounds of placement, of capacity planning and of preemption. Times are
- * steady milliseconds.
+ * The periodic work of the leader: on each tick, and at longer intervals the rounds of placement, capacity planning and
+ * preemption. Times are monotonic milliseconds.
  */
 internal class PeriodicWork(private val components: LeaderComponents, private val node: String, startedAt: Long) {
     private val state = components.state
     private val tuning = state.tuning
-    private val round = PlacementRound(tuning.cost)
+    private val placementRound = PlacementRound(tuning.cost)
     private val lastSummaryRequestAt = HashMap<String, Long>()
     private var nextRoundAt = startedAt
     private var nextPlanAt = startedAt
-    private var plannedAt = Long.MIN_VALUE / 2
+    private var lastPlanAt = Long.MIN_VALUE / 2
     private var nextPreemptionAt = startedAt
 
-    /** A job was added: the next rounds of placement and planning come earlier. */
+    /** Brings the next rounds of placement and capacity planning forward, since a job was added. */
     fun jobAdded(now: Long) {
-        nextRoundAt = minOf(nextRoundAt, now + NEW_JOB_MS)
-        nextPlanAt = minOf(nextPlanAt, maxOf(now + NEW_JOB_MS, plannedAt + tuning.capacityPlanIntervalMs / 2))
+        nextRoundAt = minOf(nextRoundAt, now + NEW_JOB_BATCH_MS)
+        nextPlanAt = minOf(nextPlanAt, maxOf(now + NEW_JOB_BATCH_MS, lastPlanAt + tuning.capacityPlanIntervalMs / 2))
     }
 
     /** The waiting tasks of the jobs that [peer] owns; the request shows that [peer] is alive. */
     fun summaryFor(peer: String, now: Long): Summary {
         lastSummaryRequestAt[peer] = now
-        return components.queue.summary(now, MAX_ROWS) { it.owner == peer }
+        return components.queue.summary(now, MAX_SUMMARY_ROWS) { it.owner == peer }
     }
 
+    /** Does all work that is due at [now]. */
     fun tick(now: Long) {
         if (state.leaseGuard.state == LeaseGuard.State.RESUMED_EXPIRED) return components.dispatcher.sendDue(state.machines, now)
-        watchMachines(now)
-        if (now >= nextRoundAt) place(now)
+        checkMachines(now)
+        if (now >= nextRoundAt) runPlacementRound(now)
         if (now >= nextPlanAt) planCapacity(now)
-        if (now >= nextPreemptionAt) preempt(now)
+        if (now >= nextPreemptionAt) runPreemptionRound(now)
         endQuarantines(now)
         components.workConservation.step(now)
         components.checkpoints.step(now)
@@ -46,30 +47,31 @@
         flush(now)
     }
 
-    private fun watchMachines(now: Long) {
+    private fun checkMachines(now: Long) {
         components.failureDetector.step(now)
         components.zones.step(now)
         components.autoscaler.watch(now)
     }
 
-    private fun place(now: Long) {
+    private fun runPlacementRound(now: Long) {
         nextRoundAt = now + tuning.placementIntervalMs
-        // While a node does not ask for summaries, the jobs that it owns are placed here.
-        val summary = components.queue.summary(now, MAX_ROWS) { it.owner == node || ownerInactive(it, now) }
-        if (summary.rows.isNotEmpty()) components.dispatcher.accept(round.place(summary), now)
+        // While a controller does not request summaries, the leader places the jobs that it owns.
+        val summary = components.queue.summary(now, MAX_SUMMARY_ROWS) { it.owner == node || ownerInactive(it, now) }
+        if (summary.rows.isNotEmpty()) components.dispatcher.accept(placementRound.place(summary), now)
     }
 
-    private fun ownerInactive(job: Job, now: Long) = now - lastSummaryRequestAt.getOrDefault(job.owner, Long.MIN_VALUE / 2) > tuning.ownerTimeoutMs
+    private fun ownerInactive(job: Job, now: Long) =
+        now - lastSummaryRequestAt.getOrDefault(job.owner, Long.MIN_VALUE / 2) > tuning.ownerTimeoutMs
 
     private fun planCapacity(now: Long) {
-        plannedAt = now
+        lastPlanAt = now
         nextPlanAt = now + tuning.capacityPlanIntervalMs
         components.autoscaler.plan(now)
         components.consolidation.step(now)
     }
 
-    private fun preempt(now: Long) {
-        nextPreemptionAt = now + PREEMPTION_MS
+    private fun runPreemptionRound(now: Long) {
+        nextPreemptionAt = now + PREEMPTION_INTERVAL_MS
         components.preemption.preempt(now)
     }
 
@@ -84,7 +86,7 @@
         }
     }
 
-    /** Unlike after a single event, all machines are looked at: commands are repeated until they are answered. */
+    /** Unlike [LeaderComponents.flush], considers all machines, since commands are repeated until they are answered. */
     private fun flush(now: Long) {
         components.lifecycle.flush(now)
         components.journal.flush(now)
@@ -92,11 +94,11 @@
     }
 
     private companion object {
-        /** The most rows in one summary. */
-        const val MAX_ROWS = 256
+        /** The maximum number of rows in one summary. */
+        const val MAX_SUMMARY_ROWS = 256
 
-        /** New jobs that arrive within this time share one round. */
-        const val NEW_JOB_MS = 30L
-        const val PREEMPTION_MS = 300L
+        /** New jobs that arrive within this time are placed in the same round. */
+        const val NEW_JOB_BATCH_MS = 30L
+        const val PREEMPTION_INTERVAL_MS = 300L
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/RecoveredState.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/RecoveredState.kt
@@ -6,10 +6,10 @@
 import org.honeyjunction.core.model.JobSpec
 import org.honeyjunction.core.model.JobStage
 
-/** A job as the key-value store has it; [createdAtWall] in wall-clock milliseconds. */
+/** The stored record of a job with its revision, [version]; [createdAtWall] is in wall-clock milliseconds. */
 data class StoredJob(val spec: JobSpec, val owner: String, val createdAtWall: Long, val version: Long, val stage: JobStage)
 
-/** The contents of the key-value store when the term began. */
+/** The contents of the key-value store when the term began, from which [LeaderRecovery] rebuilds the state. */
 class RecoveredState(
     val jobs: List<StoredJob>,
     val pages: List<JournalPageRecord>,
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/RemovalQueue.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/RemovalQueue.kt
@@ -1,19 +1,20 @@
 package org.honeyjunction.core.control.leader
 
 /**
- * Finished jobs and removed machines that are remembered for [RETENTION_MS], so that delayed messages about them are
- * recognised.
+ * Retains finished jobs and removed machines for [RETENTION_MS], so that delayed messages about them are still recognised.
  */
 internal class RemovalQueue {
-    /** [forget] returns false while the entry is still needed; it is then kept for another period. */
+    /** An entry that is due for removal; [forget] returns false if it is still needed and must be retained for another period. */
     private class Removal(val at: Long, val forget: () -> Boolean)
 
     private val removals = ArrayDeque<Removal>()
 
+    /** Adds an entry that is removed by [forget] after the retention period. */
     fun add(now: Long, forget: () -> Boolean) {
         removals += Removal(now, forget)
     }
 
+    /** Removes the entries whose retention period has ended. */
     fun purge(now: Long) {
         while (removals.isNotEmpty() && now - removals.first().at > RETENTION_MS) {
             val first = removals.removeFirst()
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/RulesInForce.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/RulesInForce.kt
@@ -3,23 +3,23 @@
 import org.honeyjunction.core.rules.Rule
 import org.honeyjunction.core.rules.RuleSet
 
-/** Joins the operators' rules with the rules of jobs and puts them in force. */
+/** Combines the operators' rules with the rules of jobs and puts them in force. */
 internal class RulesInForce(private val state: ClusterState, private var operatorRules: RuleSet) {
     private var jobRules = emptyList<Rule>()
 
-    /** Replaces the operators' rules, unless [rules] are not newer. */
+    /** Replaces the operators' rules if [rules] have a higher version. */
     fun useOperatorRules(rules: RuleSet) {
         if (rules.version <= operatorRules.version) return
         operatorRules = rules
-        state.useRules(joined())
+        state.useRules(combinedRules())
     }
 
-    /** Replaces the rules of jobs. */
+    /** Replaces the rules of all jobs. */
     fun useJobRules(rules: List<Rule>) {
         if (rules == jobRules) return
         jobRules = rules
-        state.useRules(joined())
+        state.useRules(combinedRules())
     }
 
-    private fun joined() = RuleSet(operatorRules.version, operatorRules.rules + jobRules, operatorRules.topology)
+    private fun combinedRules() = RuleSet(operatorRules.version, operatorRules.rules + jobRules, operatorRules.topology)
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/TaskLimit.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/TaskLimit.kt
@@ -3,14 +3,14 @@
 import org.honeyjunction.core.admission.MaxMinFairness
 import org.honeyjunction.core.admission.QuotaAllocator
 
-/** How many unfinished tasks memory is provisioned for, and how they are shared among teams. */
+/** The limit of unfinished tasks that memory is provisioned for, and its fair sharing among teams. */
 internal class TaskLimit(private val state: ClusterState, private val maxTasks: Int) {
-    /** Whether new jobs must wait outside of the leader's memory. */
+    /** Whether the limit is exceeded, so that no further jobs may be admitted. */
     val reached: Boolean get() = state.activeTasks > maxTasks
 
-    /** Teams with more unfinished tasks than their fair share by [weights]; none while less than [SHARED_FROM] of the limit is in use. */
+    /** The teams with more unfinished tasks than their weighted fair share of [FAIR_SHARE_THRESHOLD] of the limit; empty below it. */
     fun teamsOverShare(weights: Map<String, Double>): Set<String> {
-        val limit = maxTasks * SHARED_FROM
+        val limit = maxTasks * FAIR_SHARE_THRESHOLD
         if (state.activeTasks < limit) return emptySet()
         val tasks = state.active.values.groupBy { it.spec.team }.mapValues { (_, jobs) -> jobs.sumOf { it.spec.tasks }.toDouble() }
         val teams = tasks.keys.toList()
@@ -21,7 +21,7 @@
     }
 
     private companion object {
-        /** The part of the limit that may be in use before teams are held to their shares. */
-        const val SHARED_FROM = 0.7
+        /** The fraction of the limit that may be in use before teams are restricted to their fair shares. */
+        const val FAIR_SHARE_THRESHOLD = 0.7
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/WorkerLeaseRenewals.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/WorkerLeaseRenewals.kt
@@ -4,30 +4,31 @@
 import org.honeyjunction.core.lease.RenewalBound
 
 /**
- * Whether this leader may renew workers' leases: the decision is that of [RenewalBound]; here its changes are logged for
- * operators. Times are steady milliseconds.
+ * Whether this leader may renew workers' leases. [RenewalBound] decides; this class feeds it with events and logs its changes for
+ * operators. Times are monotonic milliseconds.
  */
 internal class WorkerLeaseRenewals(private val state: ClusterState, otherNodes: Collection<String>) {
     private val bound = RenewalBound(otherNodes, RenewalBound.gracePeriodMs(state.cluster.cancelMs, state.cluster.leaseMs))
 
-    /** As of the last event; see [timePassed]. */
+    /** Whether leases may be renewed, as of the latest event; see [timePassed]. */
     val allowed: Boolean get() = bound.mayRenew
 
-    /** This node holds the leader lease until then. */
+    /** The leader lease was renewed: this node holds it until [until]. */
     fun leaderLeaseRenewed(until: Long, now: Long) {
         on(RenewalBound.Event.LeaderLeaseRenewed(until, now))
     }
 
-    /** [node] answered a request sent at [requestedAt] that it knew of no later term, and that it had been up for [upMs]. */
+    /** [node] confirmed, on a request sent at [requestedAt], that it knows of no later term and has been up for [upMs]. */
     fun peerConfirmed(node: String, requestedAt: Long, upMs: Long, now: Long) {
         on(RenewalBound.Event.PeerConfirmed(node, requestedAt, upMs, now))
     }
 
-    /** A worker has seen a later term: nothing is renewed ever again. */
+    /** A worker has seen a fencing token of a later term: this leader never renews a lease again. */
     fun superseded(now: Long) {
         on(RenewalBound.Event.LaterTermObserved(now))
     }
 
+    /** Checks whether the right to renew leases has ended at [now]. */
     fun timePassed(now: Long): RenewalBound.State = on(RenewalBound.Event.TimePassed(now))
 
     private fun on(event: RenewalBound.Event): RenewalBound.State {
--- a/src/main/kotlin/org/honeyjunction/core/control/messages/Change.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/messages/Change.kt
@@ -2,38 +2,39 @@
 
 import org.honeyjunction.core.control.journal.JournalPageRecord
 
-/** One durable change; the codec of the key-value store defines how it is written. */
+/** A change of the stored state. The codecs of the key-value store define its stored form. */
 sealed interface Change {
-    /** A page of the placement journal, written on condition of the version that it names; [write] identifies this write. */
+    /** Writes a page of the placement journal, provided that its stored version is the record's; [writeId] identifies the write. */
     data class JournalPage(val record: JournalPageRecord, val writeId: Long) : Change
 
-    /** Where machines are and what they cache: speeds up a new leader, and correctness does not depend on it. */
+    /** Writes a page of machine checkpoints. They speed up the recovery of a new leader; correctness does not depend on them. */
     data class MachineCheckpoints(val page: Int, val machines: List<MachineCheckpoint>) : Change
 
-    /** What a later leader need not find out again. */
+    /** Writes what the leader has learned, so that a later leader need not learn it again. */
     data class Checkpoint(val checkpoint: LeaderCheckpoint) : Change
 
-    /** Moves the record of the job, on condition of [version], to the terminal records. */
+    /** Moves the record of the job to the terminal records, provided that its stored version is [version]. */
     data class JobFinished(val job: String, val version: Long, val cancelled: Boolean) : Change
 }
 
-/** The outcome of the compare-and-swap that an [Effect.Commit] asked for. */
+/** The outcome of the compare-and-swap that an [Effect.Commit] requested. */
 sealed interface CommitOutcome {
-    /** [version]: the revision at which the changes were applied. */
+    /** The changes were applied at the revision [version]. */
     data class Applied(val version: Long) : CommitOutcome
 
-    /** Not applied so far; it may still be applied unless a condition prevents it. [version]: that of the page as it stands. */
+    /** The changes were not applied. They may still be applied later unless a condition prevents it. [version]: the page's current one. */
     data class Failed(val version: Long? = null) : CommitOutcome
 }
 
-/** The stored record of a job that this term knows to be accepted. */
+/** The stored record of a job that is known to have been accepted. */
 sealed interface JobRecord {
+    /** The job has not ended; [version] is the revision of its record. */
     data class Active(val version: Long) : JobRecord
 
-    /** The terminal record, in place or among the terminal records. */
+    /** The job has ended. Its terminal record stands in place of the active one or among the terminal records. */
     data class Finished(val cancelled: Boolean) : JobRecord
 
-    /** Neither an active nor a terminal record. */
+    /** There is neither an active nor a terminal record. */
     data object Absent : JobRecord
 
     /** The key-value store did not answer. */
--- a/src/main/kotlin/org/honeyjunction/core/control/messages/Checkpoints.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/messages/Checkpoints.kt
@@ -6,8 +6,8 @@
 import org.honeyjunction.core.fairness.ServedCount
 
 /**
- * What a leader learned and leaves to the next one: which jobs fail on every machine, how long machines take to boot, and
- * how many jobs of each class and team were started in time, of those that are finished.
+ * What a leader has learned and stores for its successor: which jobs fail on every machine, how long machines take to boot, and
+ * how many of the finished jobs of each class and team were started in time.
  */
 data class LeaderCheckpoint(
     val jobs: List<JobFailureCheckpoint> = emptyList(),
@@ -15,7 +15,7 @@
     val served: Map<FairnessGroup, ServedCount> = emptyMap(),
 )
 
-/** Where a machine is and what it caches, as a leader leaves it to the next one. */
+/** The address, type, zone, session and cached images of a machine, as a leader stores them for its successor. */
 data class MachineCheckpoint(
     val name: String,
     val address: String?,
@@ -23,8 +23,8 @@
     val zone: String,
     val spot: Boolean,
     val session: Long,
-    /** The images that its cache was believed to hold, with their sizes in GB: tells a new leader where tasks would be local. */
+    /** The images that the machine's cache is assumed to hold, with their sizes in GB. A new leader places tasks by them. */
     val images: Map<String, Double>,
-    /** Wall-clock milliseconds since when the machine has been idle; null: it was busy, or idle only for a short time. */
+    /** Wall-clock time in milliseconds at which the machine became idle; null if it was busy, or idle only for a short time. */
     val idleSinceWall: Long? = null,
 )
--- a/src/main/kotlin/org/honeyjunction/core/control/messages/Heartbeat.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/messages/Heartbeat.kt
@@ -1,33 +1,38 @@
 package org.honeyjunction.core.control.messages
 
-/** Why a task is not on its machine any more, as the worker reports it. */
+/** Why an attempt of a task has ended, or was not started, as the worker reports it. */
 enum class TerminationReason { DONE, STOPPED, PEERS, INCOMPLETE, ERROR, NO_ROOM, BUSY, UNKNOWN_JOB }
 
-/** What a worker reports of one task. */
+/** The state of an attempt of a task, as the worker reports it. */
 sealed interface TaskState {
+    /** The worker is fetching the task's image. */
     data object Fetching : TaskState
 
+    /** The task is waiting for the other tasks of its gang. */
     data object Gathering : TaskState
 
+    /** The task is running. */
     data object Running : TaskState
 
+    /** The task is saving a checkpoint. */
     data object Saving : TaskState
 
-    /** [saved]: a checkpoint of the task was stored before it ended. */
+    /** The attempt has ended; [saved]: a checkpoint of the task was stored before. */
     data class Ended(val cause: TerminationReason, val saved: Boolean) : TaskState
 }
 
-/** One task in a heartbeat; [attempt] tells one start of the task from another. */
+/** One attempt of a task in a heartbeat; [attempt] distinguishes the starts of the same task. */
 data class ReportedTask(val job: String, val number: Int, val attempt: Long, val state: TaskState) {
-    /** The identifier of the task: that of its job and its number. */
+    /** The identifier of the task, which consists of the identifier of its job and its number. */
     val task get() = "$job/$number"
 }
 
 /**
- * A worker's status, sent periodically and as the answer to commands.
+ * The status of a worker, which it sends periodically and as the answer to commands.
  *
- * [session] is the incarnation of the agent and [sequence] orders the heartbeats within it. [token] is the highest fencing
- * token that the worker has seen. [spotNoticeS]: seconds until the cloud takes the instance back; null without such a notice.
+ * [session] is the incarnation of the agent, and [sequence] orders the heartbeats within it. [token] is the highest fencing
+ * token that the worker has seen. [spotNoticeS] is the time in seconds until the cloud reclaims the spot instance; null without
+ * a notice.
  */
 data class Heartbeat(
     val machine: String,
--- a/src/main/kotlin/org/honeyjunction/core/control/messages/ListedMachine.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/messages/ListedMachine.kt
@@ -1,6 +1,6 @@
 package org.honeyjunction.core.control.messages
 
-/** A machine in the cloud's list of rented instances; [rentedForS]: seconds since it was rented. */
+/** A machine in the cloud's list of rented instances; [rentedForS] is the time in seconds since it was rented. */
 data class ListedMachine(
     val name: String,
     val address: String?,
--- a/src/main/kotlin/org/honeyjunction/core/lease/LeaderLiveness.kt
+++ b/src/main/kotlin/org/honeyjunction/core/lease/LeaderLiveness.kt
@@ -1,10 +1,11 @@
 package org.honeyjunction.core.lease
 
 /**
- * What a follower knows of the current leader's liveness, for redirects of workers and users.
+ * Tracks whether the current leader responds, so that a follower redirects workers and users only to a live leader.
  *
- * A leader that no longer responds is not named, although its lease may still run: a worker that is redirected there waits four
- * seconds in vain, and its own lease may expire by that. Without a name it tries the next node, which may be the leader by then.
+ * A follower does not redirect to a leader that has stopped responding, even while the leader's lease is valid: a redirected
+ * worker would wait four seconds for a timeout, and its own lease could expire in that time. Without a redirect the worker tries
+ * the next node, which may have become the leader by then.
  *
  * Times are monotonic milliseconds of this node.
  */
@@ -12,19 +13,19 @@
     private var leader: String? = null
     private var lastResponseAt = now
 
-    /** The key-value store names [current] as the leader, or nobody. A new leader counts as responsive from [now] on. */
+    /** Records the leader that the key-value store names; null if there is none. A new leader counts as responsive at [now]. */
     fun observeLeader(current: String?, now: Long) {
         if (current == leader) return
         leader = current
         lastResponseAt = now
     }
 
-    /** The leader answered a request of this node. */
+    /** Records that the leader answered a request of this node. */
     fun recordResponse(now: Long) {
         lastResponseAt = maxOf(lastResponseAt, now)
     }
 
-    /** The leader, if there is one that responded within [RESPONSE_TIMEOUT_MS]; null otherwise. */
+    /** The leader, if it has responded within the last [RESPONSE_TIMEOUT_MS]; null otherwise. */
     fun reachableLeader(now: Long): String? = leader.takeIf { now - lastResponseAt <= RESPONSE_TIMEOUT_MS }
 
     companion object {
--- a/src/main/kotlin/org/honeyjunction/core/lease/LeaseGuard.kt
+++ b/src/main/kotlin/org/honeyjunction/core/lease/LeaseGuard.kt
@@ -1,51 +1,55 @@
 package org.honeyjunction.core.lease
 
 /**
- * The single check that each decision of the leader passes before it is sent: the leader lease has to be valid, and the process
- * must not have been suspended.
+ * Decides whether the leader may send its decisions: the leader lease must be valid, and the process must not have been suspended.
  *
- * After a suspension (a stopped virtual machine, a long garbage collection) the clock is ahead and the queues hold decisions made
- * on stale state, while another node may be the leader. So the process has to renew its lease before it does anything else.
+ * After a suspension (a stopped virtual machine, a long garbage collection) the clock has jumped ahead and the queues hold
+ * decisions that were made on stale state, while another node may have become the leader. So the leader has to renew its lease
+ * before it does anything else.
  *
- * Times are monotonic milliseconds of this node. [recordTick] is to be called with each event. A timer is due every tenth of a
- * second, so that a gap of more than [SUSPENSION_THRESHOLD_MS] shows that the process was suspended, or could not keep up, which
- * is treated alike.
+ * Times are monotonic milliseconds of this node. The leader calls [recordTick] for each event. A timer fires every 100 ms, so a
+ * gap of more than [SUSPENSION_THRESHOLD_MS] shows that the process was suspended or overloaded; both are handled in the same way.
  */
 class LeaseGuard(now: Long) {
+    /** The validity of the leader lease, with the restrictions that follow from it. */
     enum class State {
-        /** Within the lease: everything is sent. */
+        /** The lease is valid: everything is sent. */
         HELD,
 
-        /** Past the lease, as in an outage of the key-value store: nothing is started, scaled out or scaled in; the rest goes on. */
+        /**
+         * The lease has expired, as in an outage of the key-value store: no task is started and no machine is rented or released,
+         * but everything else goes on.
+         */
         EXPIRED,
 
         /**
-         * Resumed from a suspension past the lease: until the lease is renewed, only heartbeat responses are sent, which keep
-         * the workers' leases alive.
+         * The process resumed from a suspension after the lease had expired. Until the lease is renewed, the leader sends only
+         * heartbeat responses, which keep the workers' leases alive, and the other effects that need no leader lease.
          */
         RESUMED_EXPIRED,
     }
 
+    /** As of the latest tick or renewal. */
     var state = State.EXPIRED
         private set
 
-    /** Until then no other node can be the leader. */
+    /** No other node can become the leader before this time. */
     var validUntil = Long.MIN_VALUE
         private set
 
-    /** When the process last resumed from a suspension. Heartbeats may have been missed before it, so timeouts start from here. */
+    /** When the process last resumed from a suspension. Heartbeats may have been missed during it, so timeouts start anew here. */
     var resumedAt = Long.MIN_VALUE / 2
         private set
     private var lastTickAt = now
 
-    /** The leader lease was renewed; [until] is counted from when the renewal was requested. */
+    /** Records that the leader lease was renewed; [until] counts from the time when the renewal was requested. */
     fun renewed(until: Long, now: Long) {
         recordTick(now)
         validUntil = until
         state = next(now, suspended = false, renewed = true)
     }
 
-    /** Notes that the process runs at [now]. Returns for how many milliseconds it was suspended before, or 0. */
+    /** Records that the process runs at [now]. Returns for how many milliseconds the process was suspended before, or 0. */
     fun recordTick(now: Long): Long {
         val gapMs = now - lastTickAt
         lastTickAt = maxOf(lastTickAt, now)
@@ -63,6 +67,7 @@
         }
 
     companion object {
+        /** The gap between two ticks, in milliseconds, beyond which the process counts as suspended. */
         const val SUSPENSION_THRESHOLD_MS = 1_500L
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/lease/WorkerLease.kt
+++ b/src/main/kotlin/org/honeyjunction/core/lease/WorkerLease.kt
@@ -1,62 +1,67 @@
 package org.honeyjunction.core.lease
 
 /**
- * What the leader knows of one worker's session (its agent incarnation) and of the lease that belongs to it (PROTOCOL, "Tokens"
- * and "Leases"). All that makes the expiry of a lease evidence is kept here, and [on] is the only function that changes it.
+ * The leader's view of one worker's session (the incarnation of its agent) and of the lease of that session (PROTOCOL, "Tokens"
+ * and "Leases"). An expired lease proves that the worker's tasks are gone; everything that this proof depends on is kept here,
+ * and [on] is the only function that changes it.
  *
- * The lease of a session runs from the sending of the last heartbeat that was answered in it, or else from the start of the
- * session. The leader sees neither, and counts from what cannot be earlier: the later of its last response to a heartbeat of
- * *this* session and its first message of it, be it a heartbeat or the answer to a command. A response to a heartbeat of an
- * earlier session is dropped by the worker and proves nothing.
+ * The lease of a session runs from the sending of the last heartbeat of the session that was answered, or else from the start of
+ * the session. The leader observes neither. It counts from a time that cannot be earlier: the later of its last response to a
+ * heartbeat of *this* session and the first message of the session, be it a heartbeat or the answer to a command. A response to a
+ * heartbeat of an earlier session is dropped by the worker and proves nothing.
  *
  * Times are monotonic milliseconds of this node.
  */
 class WorkerLease(private val leaseMs: Long, private val termToken: Long, session: Long = 0) {
+    /** Whether elapsed time can prove that the session's tasks are gone. */
     enum class State {
-        /** The worker has not acknowledged this term's fencing token: others may renew its lease, so elapsed time is no evidence. */
+        /** The worker has not acknowledged this term's fencing token: earlier leaders may renew its lease, so time proves nothing. */
         UNFENCED,
 
-        /** Only this leader renews the lease, and its duration counts from [countedFrom]. */
+        /** Only this leader renews the lease, whose duration counts from [countedFrom]. */
         ACTIVE,
 
-        /** The lease of [session] has expired, and all tasks started in it or before are gone. The next session is not known. */
+        /** The lease of [session] has expired: all tasks that were started in this or an earlier session are gone. */
         EXPIRED,
     }
 
+    /** What may change the [state]; [now] is the time of the event. */
     sealed interface Event {
         val now: Long
 
-        /** A message of the worker: its session, its number within it, and the highest fencing token that the worker has seen. */
+        /** The worker sent a message with its session, the number within the session, and the highest fencing token it has seen. */
         data class MessageReceived(val session: Long, val sequence: Long, val token: Long, override val now: Long) : Event
 
-        /** A heartbeat of that session is being answered. */
+        /** The leader answers a heartbeat of [session]. */
         data class HeartbeatAnswered(val session: Long, override val now: Long) : Event
 
+        /** No message was exchanged, but the lease may have expired. */
         data class TimePassed(override val now: Long) : Event
     }
 
-    /** What an event shows of the tasks on the machine. */
+    /** What an event proves about the tasks on the machine. */
     enum class Finding {
-        /** Nothing. */
+        /** The event proves nothing. */
         NONE,
 
-        /** The message is older than what is known already. */
+        /** The message is older than one that was received before, and is ignored. */
         STALE,
 
-        /** The message is the newest of the known session. */
+        /** The message is the latest one of the known session. */
         NEWER,
 
-        /** The first message of a later session: no task of the earlier ones is left. */
+        /** The message is the first one of a later session: no task of earlier sessions is left. */
         NEW_SESSION,
 
-        /** The lease has just expired: its tasks are gone. */
+        /** The lease has just expired: the tasks of the session are gone. */
         EXPIRED,
     }
 
+    /** As of the latest event. */
     var state = State.UNFENCED
         private set
 
-    /** The latest session that is known; commands carry it. */
+    /** The latest known session. Commands carry its number. */
     var session = session
         private set
 
@@ -64,14 +69,15 @@
     var ackedToken = -1L
         private set
 
-    /** In [State.ACTIVE]: the lease expires no later than its duration after this. */
+    /** In [State.ACTIVE]: the lease expires at most its duration after this time. */
     var countedFrom = Long.MIN_VALUE / 2
         private set
     private var sequence = -1L
 
-    /** Whether the worker has acknowledged this term's fencing token, which voids the commands of every earlier leader. */
+    /** Whether the worker has acknowledged this term's fencing token, and so rejects the commands of every earlier leader. */
     val fenced get() = ackedToken >= termToken
 
+    /** Applies [event] and returns what it proves. */
     fun on(event: Event): Finding =
         when (event) {
             is Event.MessageReceived -> receive(event)
@@ -90,7 +96,7 @@
 
     private fun receive(message: Event.MessageReceived): Finding {
         val laterSession = message.session > session
-        // Messages of an expired session that arrive late prove nothing about the present state.
+        // A message of an expired session that arrives late proves nothing about the current state of the machine.
         val outdated = message.session < session || state == State.EXPIRED || message.sequence <= sequence
         if (!laterSession && outdated) return Finding.STALE
         session = message.session
@@ -104,10 +110,10 @@
     }
 
     companion object {
-        /** By how much a worker's clock may be slower than this node's. */
+        /** The factor by which a worker's clock may run slower than this node's. */
         const val DRIFT = 1.002
 
-        /** How long the expiry of a lease is waited for beyond its duration and drift. */
+        /** How long the leader waits, beyond the duration of a lease and clock drift, before the lease counts as expired. */
         const val MARGIN_MS = 300L
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/model/Job.kt
+++ b/src/main/kotlin/org/honeyjunction/core/model/Job.kt
@@ -2,16 +2,16 @@
 
 import java.util.BitSet
 
-/** How the tasks of a job belong together. The names are stored. */
+/** How the tasks of a job relate: independent tasks, a gang that runs all at once, or replicas of a service. The names are stored. */
 enum class JobKind { ARRAY, GANG, SERVICE }
 
-/** From the lowest to the highest. The names are stored, and the ordinals are sent. */
+/** The priority of a job, from the lowest to the highest. The names are stored, and the ordinals are sent. */
 enum class Priority { LOW, NORMAL, HIGH, PRODUCTION }
 
-/** The durable stages. Whether an active job is pending or running follows from its placements. */
+/** The durable stage of a job. Whether an active job is pending or running follows from its placements. */
 enum class JobStage { ACTIVE, DONE, CANCELLED }
 
-/** What a user asks for: the accepted form of a submission. Times are in seconds, sizes in gigabytes. */
+/** The specification of a job, as it was submitted and accepted. Times are in seconds, sizes in gigabytes. */
 data class JobSpec(
     val id: String,
     val jobClass: String,
@@ -33,18 +33,19 @@
     val deadlineS: Double?,
 )
 
-/** Whether the cluster could ever run a job. */
+/** The result of [checkFeasibility]. */
 sealed interface Feasibility {
+    /** The cluster can run the job once it has enough free resources. */
     data object Feasible : Feasibility
 
-    /** [reason] is reported to the user. */
+    /** The cluster can never run the job; [reason] is reported to the user. */
     data class Infeasible(val reason: String) : Feasibility
 
     /** The machine types are not known yet. */
     data object Unknown : Feasibility
 }
 
-/** Whether the cluster could ever run [spec], by the limits of its team and by the machine types. */
+/** Whether the cluster can ever run [spec], according to the limit of its team and to the machine types. */
 fun Cluster.checkFeasibility(spec: JobSpec): Feasibility {
     val team = team(spec.team)
     if (team == NameTable.ABSENT) return Feasibility.Infeasible("there is no team ${spec.team}")
@@ -66,7 +67,7 @@
     return "$subject ${need.cpus} CPUs and ${need.gpus} GPUs; team ${spec.team} may use $allowed"
 }
 
-/** The known machine types that [spec] asks for, or its own list if none of them is known. */
+/** The known machine types among those that [spec] allows, or the list in [spec] if none of them is known. */
 private fun Cluster.candidateTypes(spec: JobSpec): List<String> =
     types.values
         .map { it.name }
@@ -75,52 +76,61 @@
 
 private fun Double.orAny() = if (this <= 0) "any" else toString()
 
-/** Whether a task of this job may run on, and fits into, a machine of [type]. */
+/** Whether a task of this job may run on a machine of [type] and fits into it. */
 fun JobSpec.mayUse(type: MachineType): Boolean = (types == null || type.name in types) && need.fitsIn(type.size)
 
-/** The zones, as a bit mask, in which [type] is offered and [spec] may run. */
+/** The zones in which [type] is offered and [spec] may run, as a bit mask. */
 fun Cluster.zonesFor(spec: JobSpec, type: MachineType): Long =
     type.zones.filter { spec.zone == null || zones.name(it) == spec.zone }.fold(0L) { mask, zone -> mask or (1L shl zone) }
 
-/** A job as the leader sees it; [index], [team] and [image] are dense indices. */
+/**
+ * The leader's view of a job. [index], [team] and [image] are dense indices; [owner] is the controller that
+ * places its tasks while it is alive.
+ */
 class Job(val index: Int, val spec: JobSpec, val team: Int, val image: Int, val owner: String, val createdAt: Long) {
+    /** The stage that is known to be durable. */
     var stage = JobStage.ACTIVE
         private set
 
-    /** The revision of its durable record. */
+    /** The revision of the job's durable record. */
     var version = 0L
     val tasks = Array(spec.tasks) { Task(this, it) }
+
+    /** The number of tasks that are done. */
     var doneCount = 0
         private set
 
-    /** The numbers of the pending tasks: neither done nor, as far as is known, on any machine. */
+    /** The numbers of the pending tasks: those that are not done and have no placement. */
     val waiting = BitSet(spec.tasks).apply { set(0, spec.tasks) }
 
-    /** Where the job's tasks are or might be, kept in step with [Task.placements]. */
+    /** The placements of all tasks of the job: the union of their [Task.placements]. */
     val placements = LinkedHashSet<Placement>()
 
-    /** None of its tasks is started before, in monotonic milliseconds. */
+    /** No task of the job is started before this time, in monotonic milliseconds. */
     var notBefore = 0L
 
-    /** Whether one of its tasks has ever run, as far as this term knows. */
+    /** Whether a task of the job is known to have run. */
     var started = false
 
-    /** It fails on every machine: its tasks are tried one at a time, after all other jobs, and no instance is rented for it. */
+    /**
+     * Whether the job fails on every machine. Its tasks are then tried one at a time, after all other jobs, and no machine is rented
+     * for it.
+     */
     var failing = false
 
     /**
-     * The state of its terminal record. From the first attempt to write it, no task of the job may be started any more, and its
-     * status may not be answered from memory.
+     * The state of the job's terminal record. From the first attempt to write the record on, no task of the job may be started any
+     * more, and its status may not be answered from memory until the record is known to be durable.
      */
     val terminalRecord = TerminalRecord()
 
-    /** Its user has requested its cancellation: its tasks are of no use from then on, whether that is confirmed yet or not. */
+    /** Whether the user has requested the cancellation of the job. Its tasks are useless from then on, even before a confirmation. */
     var cancelRequested = false
 
-    /** The index of the shape that its tasks have to the rules in force; below 0: none. */
+    /** The index of the job's tasks in the rules in force, see [org.honeyjunction.core.rules.RuleBook.shape]; below 0: no rule applies. */
     var shape = -1
 
-    /** Whether it fits into its team's guaranteed quota together with the team's earlier jobs; recomputed every round. */
+    /** Whether the job and the team's earlier jobs together fit into the team's guaranteed quota; recomputed in each placement round. */
     var guaranteed = false
 
     /** The only function that changes the stage; a terminal stage never changes again. */
@@ -133,27 +143,30 @@
     /** The number of tasks that a worker reported as running. */
     val running: Int get() = placements.count { it.phase == Phase.RUNNING }
 
-    /** Whether its tasks may still be started. */
+    /** Whether tasks of the job may still be started. */
     val startable get() = terminalRecord.state == TerminalRecord.State.OPEN && !cancelRequested
 
-    /** Whether any of its tasks that is found on a machine is to be stopped. */
+    /** Whether every task of the job that is found on a machine must be stopped. */
     val mustStop get() = stage != JobStage.ACTIVE || cancelRequested
 
+    /** The number of tasks that are not done. */
     val unfinished get() = tasks.size - doneCount
 
+    /** Adds [placement] of one of the job's tasks. */
     fun add(placement: Placement) {
         placement.task.placements += placement
         placements += placement
         waiting.clear(placement.task.number)
     }
 
+    /** Removes [placement]. Its task is pending again if it is not done and has no other placement. */
     fun remove(placement: Placement) {
         placement.task.placements -= placement
         placements -= placement
         if (!placement.task.done && placement.task.placements.isEmpty()) waiting.set(placement.task.number)
     }
 
-    /** Returns false for a task that was done already. */
+    /** Marks [task] as done. Returns false if it was done already. */
     fun markDone(task: Task): Boolean {
         if (task.done) return false
         task.done = true
@@ -163,60 +176,80 @@
     }
 }
 
-/** One task of [job]. */
+/** The task of [job] with this [number], which counts from 0. */
 class Task(val job: Job, val number: Int) {
-    /** Every placement of the task that exists or might exist. It may be started only if there is none. */
+    /** Every placement of the task that exists or may exist. The task may be started only if there is none. */
     val placements = ArrayList<Placement>(0)
 
-    /** A worker reported that it has finished; set by [Job.markDone]. */
+    /** Whether a worker reported that the task is done; set by [Job.markDone]. */
     var done = false
 
-    /** The result is in the key-value store. Only then may the worker reap the attempt. */
+    /** Whether the result is in the key-value store. Only then may the worker forget the attempt. */
     var doneDurable = false
+
+    /** Since when the task has been pending; meaningful only while it is. */
     var waitingSince = job.createdAt
 
+    /** The identifier of the task, which consists of the identifier of its job and its number. */
     val id get() = "${job.spec.id}/$number"
 }
 
-/** The phases of a placement; from [FETCHING] on, as reported by the worker. */
+/** The phase of a placement. From [FETCHING] on, phases are those that the worker reported. */
 enum class Phase {
-    /** Its resources are reserved and the durable record is being written; nothing was sent. */
+    /** The resources are reserved and the durable record is being written. No command was sent. */
     RESERVED,
 
-    /** The machine's durable record lists it; the start command may be sent. */
+    /** The durable record of the start has been written. The start command may be sent. */
     RECORDED,
 
-    /** A start command was sent, and its outcome is unknown. */
+    /** The start command was sent, and its outcome is not known yet. */
     SENT,
 
-    /** The record of an earlier term lists it, and the machine has not confirmed it under this term. */
+    /** The start was recorded in an earlier term, and the machine has not confirmed it in this term. */
     UNCONFIRMED,
+
+    /** The worker is fetching the image. */
     FETCHING,
+
+    /** The task is waiting for the other tasks of its gang. */
     GATHERING,
+
+    /** The task is running. */
     RUNNING,
+
+    /** The task is saving a checkpoint. */
     SAVING,
     ;
 
+    /** Whether the worker has reported the task in this phase. */
     val reported get() = this >= FETCHING
 
-    /** Its start command may still be executed, and no report has shown the task yet. */
+    /** Whether the start command may still be executed and no report has listed the task yet. */
     val outcomeUnknown get() = this == SENT || this == UNCONFIRMED
 }
 
-/** One [attempt] to run [task] on [machine]. */
+/** An [attempt] to run [task] on [machine]. */
 class Placement(val task: Task, val machine: Machine, val attempt: Long, phase: Phase, now: Long) {
     var phase = phase
         private set
+
+    /** When the placement entered its phase, in monotonic milliseconds. */
     var phaseSince = now
         private set
 
     /** In [Phase.SENT]: the lowest fencing token whose acknowledgement proves that the start can no longer be executed. */
     var voidFromToken = Long.MAX_VALUE
+
+    /** The time in seconds that the task has to save a checkpoint when it is stopped. */
     var stopGraceS = 0.0
+
+    /** Whether the task is to be stopped. */
     var stopping = false
+
+    /** When the latest stop command was sent, in monotonic milliseconds; 0 if none was sent. */
     var stopSentAt = 0L
 
-    /** Removed on evidence that the task is not on the machine any more, or never was. */
+    /** Whether the placement was removed, on proof that the task is not on the machine any more or never was. */
     var removed = false
 
     /** The only function that changes the phase. A reported phase never falls back to an unreported one. */
--- a/src/main/kotlin/org/honeyjunction/core/model/Machine.kt
+++ b/src/main/kotlin/org/honeyjunction/core/model/Machine.kt
@@ -3,141 +3,164 @@
 import org.honeyjunction.core.boot.InstanceKind
 import org.honeyjunction.core.lease.WorkerLease
 
-/** The phases of a machine's life as the leader knows it, in the order of [Machine.enter]'s check. */
+/** The lifecycle of a machine as the leader knows it. [Machine.enter] relies on the order of the last two phases. */
 enum class MachinePhase {
-    /** Rented or listed by the cloud; as far as this leader knows, its worker has never sent a message. */
+    /** Rented or listed by the cloud. The leader knows of no message of the machine's worker yet. */
     BOOTING,
 
     /**
-     * Known from the records of an earlier leader, or from a delayed message: not confirmed by a message under this term. It may
-     * run tasks.
+     * Known from the records of an earlier leader or from a delayed message, and not confirmed by a message in this term. The
+     * machine may run tasks.
      */
     UNCONFIRMED,
 
-    /** Reports, and may run tasks. */
+    /** The worker sends heartbeats, and the machine may run tasks. */
     UP,
 
     /**
-     * Has reported under this term, but its heartbeats are missing, though it may answer commands: no new tasks are started
-     * there, and those that are there may run on.
+     * The worker has reported in this term, but its heartbeats are missing, although it may answer commands. No new task is
+     * started on the machine, and its present tasks may go on.
      */
     SUSPECTED,
 
-    /** Takes no new tasks, because of a spot notice, a fault, or since it is to be returned. */
+    /** No new task is started on the machine, because of a spot notice or a fault, or because it is to be released. */
     DRAINING,
 
-    /** Unresponsive past its lease, whose expiry proves that its tasks are gone. It may come back with its image cache. */
+    /** The worker's lease has expired, which proves that its tasks are gone. The machine may come back with its image cache. */
     UNREACHABLE,
 
-    /** Its release was requested and may be executed at any time, so that the machine is never used again. */
+    /** The release was requested and may be executed at any time, so the machine is never used again. */
     RELEASING,
 
-    /** Its release was confirmed. */
+    /** The release was confirmed. */
     GONE,
 }
 
 /**
- * A machine as the leader sees it. [index] is dense; [lease] is its worker's session and lease as known under this term. Times are
- * monotonic milliseconds.
+ * The leader's view of a machine. [index] is dense; [lease] is the session and lease of the machine's worker, as known in this
+ * term. Times are monotonic milliseconds.
  */
 class Machine(val index: Int, val name: String, var lease: WorkerLease) {
     var phase = MachinePhase.BOOTING
         private set
+
+    /** The worker's address; null if it is not known. */
     var address: String? = null
+
+    /** The index of the machine type, or [NameTable.ABSENT]. */
     var type = NameTable.ABSENT
+
+    /** The index of the zone, or [NameTable.ABSENT]. */
     var zone = NameTable.ABSENT
+
+    /** Whether this is a spot instance. */
     var spot = false
 
+    /** The kind of instance, by which boot times are kept. */
     val kind get() = InstanceKind(type, zone, spot)
 
-    /** The index of the place that it is to the rules in force; below 0: none, or not known yet. */
+    /** The index of the machine in the rules in force, see [org.honeyjunction.core.rules.RuleBook.place]; below 0: none or not known. */
     var place = -1
 
     /** The fencing token that commands to this machine carry. */
     var token = 0L
 
-    /** When its last message came, be it a heartbeat or the answer to a command. */
+    /** When the latest message of the worker was received, be it a heartbeat or the answer to a command. */
     var lastContactAt = Long.MIN_VALUE / 2
 
-    /** When its last heartbeat came. Only heartbeats renew its lease; answers to commands may come without any. */
+    /** When the latest heartbeat was received. Only heartbeats renew the lease; answers to commands do not. */
     var lastHeartbeatAt = Long.MIN_VALUE / 2
+
+    /** When this leader first learned of the machine. */
     var knownSince = 0L
 
-    /** Since when it has had no placements; [Long.MIN_VALUE] while it has some. */
+    /** Since when the machine has had no placements; [Long.MIN_VALUE] while it has some. */
     var idleSince = Long.MIN_VALUE
 
-    /** When a spot instance will be taken away; null without such a notice. */
+    /** When the cloud will reclaim the spot instance; null without a notice. */
     var spotReclaimAt: Long? = null
 
-    /** The jobs whose tasks were on it when its lease expired: a machine that hangs may run them beyond its lease. */
+    /** The jobs whose tasks were on the machine when its lease expired. A machine that hangs may run them beyond its lease. */
     var jobsAtExpiry: Set<Job> = emptySet()
 
     /** Only one command message is in flight at a time, so that commands arrive in the order in which they were decided. */
     var commandInFlight = false
+
+    /** The number of unanswered command messages since the latest executed one. */
     var commandFailures = 0
+
+    /** No command is sent before this time. */
     var nextCommandAt = 0L
+
+    /** The placements on the machine, by the identifier of the task. */
     val placements = LinkedHashMap<String, Placement>()
 
-    /** Images believed to be cached, least recently used first. */
+    /** The images that are assumed to be cached, with their sizes in GB, least recently used first. */
     val images = LinkedHashMap<Int, Double>(16, 0.75f, true)
 
-    /** Its free capacity is reserved, until [minPriorityUntil], for tasks of this priority or a higher one. */
+    /** The free capacity is reserved, until [minPriorityUntil], for tasks of at least this priority; see [minPriorityAt]. */
     var minPriority = Priority.LOW
+
+    /** When the reservation for [minPriority] ends. */
     var minPriorityUntil = Long.MIN_VALUE
 
     private var reservedFor = NameTable.ABSENT
     private var reservedUntil = Long.MIN_VALUE
 
-    /** Keeps this empty machine for [job], which needs machines as a whole. */
+    /** Reserves this empty machine until [until] for [job], whose tasks need whole machines. */
     fun reserveFor(job: Int, until: Long) {
         reservedFor = job
         reservedUntil = until
     }
 
-    /** The index of the job that it is reserved for, or [NameTable.ABSENT]. */
+    /** The index of the job that the machine is reserved for at [now], or [NameTable.ABSENT]. */
     fun reservedForAt(now: Long) = if (now < reservedUntil) reservedFor else NameTable.ABSENT
 
+    /** Reserves the free capacity until [until] for tasks of at least [priority]. */
     fun reserveForPriority(priority: Priority, until: Long) {
         minPriority = priority
         minPriorityUntil = until
     }
 
+    /** The lowest priority of tasks that may use the free capacity at [now]. */
     fun minPriorityAt(now: Long) = if (now < minPriorityUntil) minPriority else Priority.LOW
 
+    /** Whether the worker sends heartbeats and the machine is not draining. */
     val usable get() = phase == MachinePhase.UP
 
-    /** The number of ended tasks in its latest status; they stay in it until their results are durable and they are reaped. */
+    /** The number of ended tasks in the worker's latest status, which lists them until it is told to forget them. */
     var reportedEndedTasks = 0
 
     /**
-     * Whether more tasks may be started here. A heartbeat lists all running and all ended tasks, and its size is bounded. The
-     * worker must have acknowledged this term's fencing token: an earlier message may come from a machine that is gone, or from a
-     * session that has ended.
+     * Whether more tasks may be started on the machine. A heartbeat lists all running and all ended tasks, and its size is
+     * limited. The worker must have acknowledged this term's fencing token: a message without it may be a delayed one of a machine
+     * that is gone, or of a session that has ended.
      */
     val acceptsTasks get() = usable && !quarantined && lease.fenced && placements.size + reportedEndedTasks < MAX_REPORTED_TASKS
 
-    /** A job failed here that has not been tried elsewhere yet; see [org.honeyjunction.core.failures.FailureAttribution]. */
+    /** Whether a job failed here that has not been tried elsewhere yet; see [org.honeyjunction.core.failures.FailureAttribution]. */
     var quarantined = false
 
-    /** The only function that changes the phase. A release is never taken back. */
+    /** The only function that changes the phase. A release is never revoked. */
     fun enter(next: MachinePhase) {
         check(phase < MachinePhase.RELEASING || next >= phase) { "$name: $phase -> $next" }
         if (phase == MachinePhase.UNREACHABLE) jobsAtExpiry = emptySet()
         phase = next
     }
 
-    /** The resources that its placements need. Summed from scratch at each change, so that rounding errors do not accumulate. */
+    /** The resources that the placements need. They are summed anew at each change, so that rounding errors do not accumulate. */
     var used = Resources.NONE
         private set
 
+    /** Recomputes [used] after a change of [placements]. */
     fun recomputeUsage() {
         used = placements.values.fold(Resources.NONE) { sum, placement -> sum + placement.task.job.spec.need }
     }
 
-    /** Notes that [image] is cached or being fetched, and evicts what the cache cannot hold any more. */
+    /** Records that [image] is cached or being fetched, and evicts images that do not fit into the cache any more. */
     fun recordImage(image: Int, gb: Double, cacheGb: Double) {
         images[image] = gb
-        // The lookup makes it the most recently used one.
+        // The lookup makes the image the most recently used one.
         images[image]
         val needed = placements.values.mapTo(HashSet()) { it.task.job.image } + image
         val leastRecentFirst = images.keys.iterator()
@@ -155,7 +178,7 @@
     }
 
     companion object {
-        /** Tasks in one heartbeat: at a hundred bytes each, half of the 64 KiB that a message may have (PROTOCOL). */
+        /** The maximum number of tasks in one heartbeat: at 100 bytes each, half of a message's maximum of 64 KiB (PROTOCOL). */
         const val MAX_REPORTED_TASKS = 327
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/model/NameTable.kt
+++ b/src/main/kotlin/org/honeyjunction/core/model/NameTable.kt
@@ -2,11 +2,12 @@
 
 import org.agrona.collections.Object2IntHashMap
 
-/** Maps names to dense indices at the edge of the process; inside, only the indices are used. */
+/** Maps names to dense indices. Names are mapped where they enter the process; internally only the indices are used. */
 class NameTable {
     private val indices = Object2IntHashMap<String>(ABSENT)
     private val names = ArrayList<String>()
 
+    /** One more than the highest index. */
     val size: Int get() = names.size
 
     /** The index of [name], which is added if it is new. */
@@ -18,7 +19,7 @@
         return names.size - 1
     }
 
-    /** As [index], but for at most [maxNames] names: for a new one beyond them, [ABSENT]. */
+    /** Like [index], but returns [ABSENT] for a new name once the table has [maxNames] names. */
     fun indexWithin(name: String, maxNames: Int): Int = if (find(name) == ABSENT && size >= maxNames) ABSENT else index(name)
 
     /** The index of [name], or [ABSENT]. */
@@ -29,9 +30,11 @@
         indices.remove(name)
     }
 
+    /** The name with this [index]. */
     fun name(index: Int): String = names[index]
 
     companion object {
+        /** The index that stands for no name. */
         const val ABSENT = -1
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/model/TerminalRecord.kt
+++ b/src/main/kotlin/org/honeyjunction/core/model/TerminalRecord.kt
@@ -1,82 +1,84 @@
 package org.honeyjunction.core.model
 
 /**
- * How far the durable record of a job's final state is, as the leader knows it: the state machine of what may be told to
- * whom, and the only way from active to done or cancelled. The steps are driven by the leader's `JobLifecycle`.
+ * The state of the durable record of a job's final state, as the leader knows it. This state machine determines which status of
+ * the job may be reported, and it is the only way from active to done or cancelled. `JobLifecycle` drives the transitions.
  *
- * A write without an answer is neither done nor undone: it may have been carried out, and others may read it, or it may be
- * carried out later. Each write is a compare-and-swap on the leader's key `lead` and on the version of the active record. So
- * of all writes of a job one at most is ever carried out, and none once a later leader has won its term. All writes of a job
- * name the same final state, and what is durable in the end is taken over.
+ * The outcome of an unanswered write is unknown: the write may have been applied, so that others can read the record, or it may
+ * still be applied later. Each write is a compare-and-swap on the leader's key `lead` and on the version of the active record. So
+ * at most one of all writes of a job is ever applied, and none once a later leader has won its term. All writes of a job carry
+ * the same final state, and the leader adopts the final state that turns out to be durable.
  *
- * | state | the leader tells | others tell | tasks |
+ * | state | status that the leader reports | status that others report | tasks |
  * | --- | --- | --- | --- |
- * | [State.OPEN] | active, from memory: no record can say more | active | started, unless the user has asked to cancel |
+ * | [State.OPEN] | active, from memory: no record can say more | active | started, unless the user has requested a cancellation |
  * | [State.RECORDED] | done or cancelled, from memory, for ever | the same | none is started, all are stopped |
- * | all others: in doubt | nothing from memory, the record is read | what the record says | none started, a cancelled job's are stopped |
+ * | all others: unknown | none from memory, the record is read | that of the record | none started, a cancelled job's are stopped |
  *
  * | from | by | to | when |
  * | --- | --- | --- | --- |
- * | [State.OPEN], [State.PENDING] | [beginWrite] | [State.WRITING] | the end of the job may be confirmed |
+ * | [State.OPEN], [State.PENDING] | [beginWrite] | [State.WRITING] | the final state may be written |
  * | [State.WRITING] | [recorded] | [State.RECORDED] | the write was applied |
  * | [State.WRITING] | [writeUnanswered] | [State.OUTCOME_UNKNOWN] | no answer, or a condition did not hold |
- * | [State.OUTCOME_UNKNOWN], [State.PENDING] | [beginRead] | [State.READING] | the record is asked for |
+ * | [State.OUTCOME_UNKNOWN], [State.PENDING] | [beginRead] | [State.READING] | a read of the record is requested |
  * | [State.READING] | [readFailed] | [State.OUTCOME_UNKNOWN] | no answer, or no record |
  * | [State.READING] | [readStillActive] | [State.PENDING] | the record is still active |
  * | [State.READING] | [recorded] | [State.RECORDED] | the record has a final state |
  */
 class TerminalRecord {
+    /** What the leader knows of the durable record. */
     enum class State {
         /** No write was ever sent. */
         OPEN,
 
-        /** A write is on its way. */
+        /** A write was sent, and its answer is awaited. */
         WRITING,
 
-        /** A write got no answer, and the record was not read since. */
+        /** A write was not answered, or one of its conditions did not hold, and the record has not been read since. */
         OUTCOME_UNKNOWN,
 
         /** The record is being read. */
         READING,
 
-        /** The record was read and was still active. The write may be carried out yet, so the doubt remains. */
+        /** The record was read and was still active. The write may still be applied, so the outcome remains unknown. */
         PENDING,
 
         /** The final state is durable. */
         RECORDED,
     }
 
+    /** As of the latest transition. */
     var state = State.OPEN
         private set
 
-    /** Whether the final state, written or durable, is `cancelled`; null: none yet. The first write decides for all later ones. */
+    /** Whether the final state, written or durable, is `cancelled`; null: no write yet. The first write determines all later ones. */
     var cancelled: Boolean? = null
         private set
 
-    /** Whether this leader may tell the job's state from memory: it is as new as anything that anybody can have read. */
+    /** Whether this leader may report the job's status from memory, since nobody can have read a newer one from the store. */
     val answerableFromMemory get() = state == State.OPEN || state == State.RECORDED
 
-    /** A write is sent. Returns whether it has to say `cancelled`: what the first write said, which is [wish] if this is it. */
-    fun beginWrite(wish: Boolean): Boolean {
+    /** A write is sent. Returns whether its final state is `cancelled`: that of the first write, which takes it from [requested]. */
+    fun beginWrite(requested: Boolean): Boolean {
         enter(State.WRITING, State.OPEN, State.PENDING)
-        return cancelled ?: wish.also { cancelled = it }
+        return cancelled ?: requested.also { cancelled = it }
     }
 
-    /** The write got no answer, or one of its conditions did not hold; reading the record shows which. */
+    /** The write was not answered, or one of its conditions did not hold. The record must be read to find out its state. */
     fun writeUnanswered() = enter(State.OUTCOME_UNKNOWN, State.WRITING)
 
-    /** The record is asked for. */
+    /** A read of the record is requested. */
     fun beginRead() = enter(State.READING, State.OUTCOME_UNKNOWN, State.PENDING)
 
-    /** The record could not be read, or is not there. */
+    /** The record could not be read or does not exist. */
     fun readFailed() = enter(State.OUTCOME_UNKNOWN, State.READING)
 
     /** The record was read and is still active. */
     fun readStillActive() = enter(State.PENDING, State.READING)
 
-    /** The final state is durable: written, read, or known from the beginning. It never changes again. */
+    /** The final state is known to be durable, because it was written, read or recovered. It never changes again. */
     fun recorded(cancelled: Boolean) {
-        check(state != State.RECORDED || this.cancelled == cancelled) { "a final state that changes" }
+        check(state != State.RECORDED || this.cancelled == cancelled) { "a durable final state must not change" }
         state = State.RECORDED
         this.cancelled = cancelled
     }
--- a/src/test/kotlin/org/honeyjunction/core/control/leader/LeaderRecoveryTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/control/leader/LeaderRecoveryTest.kt
@@ -88,7 +88,7 @@
     private fun Leader.placements() = state.job("j-1")!!.tasks[0].placements
 
     @Test
-    fun `journal pages and machine checkpoints survive encoding and decoding, images too`() {
+    fun `journal pages and machine checkpoints survive encoding and decoding, including cached images`() {
         val stored = Json.read(Json.write(JournalPageCodec.write(page, 4)))
         val read = JournalPageCodec.read(2, 9, stored)
         assertEquals(listOf(page.starts, page.done, 4L), listOf(read.starts, read.done, JournalPageCodec.writeNumber(stored)))
@@ -101,7 +101,7 @@
     }
 
     @Test
-    fun `the image of a task found running is known to be cached`() {
+    fun `the image of a task that is reported as running is assumed to be cached`() {
         val leader = newLeader()
         leader.state.machine("vm-1")!!.images.clear()
         leader.answerHeartbeat(heartbeat(1, 5, token, ReportedTask("j-1", 0, 77, TaskState.Running)), 10)
@@ -111,12 +111,12 @@
     @ParameterizedTest(name = "{0}")
     @CsvSource(
         "a report without this term's token proves nothing,      1, 0, false, 1",
-        "a report with it that does not list the task does,      1, 1, false, 0",
-        "a newer session without it does not,                    2, 0, false, 1",
-        "a report with it that lists the task keeps it,          1, 1, true,  1",
+        "a report with the token that omits the task removes it, 1, 1, false, 0",
+        "a newer session without the token proves nothing,       2, 0, false, 1",
+        "a report with the token that lists the task keeps it,   1, 1, true,  1",
         "a report of an older session is ignored,                0, 1, false, 1",
     )
-    fun `a task recovered from the journal`(name: String, session: Long, acked: Int, lists: Boolean, left: Int) {
+    fun `a task recovered from the journal is removed only on proof`(name: String, session: Long, acked: Int, lists: Boolean, left: Int) {
         val leader = newLeader()
         assertEquals(Phase.UNCONFIRMED, leader.placements().single().phase)
         val tasks = if (lists) arrayOf(ReportedTask("j-1", 0, 77, TaskState.Running)) else emptyArray()
@@ -125,15 +125,15 @@
     }
 
     /**
-     * The command of the recorded start (attempt 77) is delayed. The new leader first receives a copy of an earlier
-     * heartbeat, which lists the previous attempt on the same machine, then heartbeats without tasks. Until the fencing token
-     * is shown, attempt 77 may still start.
+     * The command of the recorded start (attempt 77) is delayed. The new leader first receives a copy of an earlier heartbeat, which
+     * lists the previous attempt on the same machine, and then heartbeats without tasks. Until a heartbeat carries this term's
+     * fencing token, attempt 77 may still be started.
      */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        "the old word and newer ones without the token,       0, 0, 1",
-        "the newer one shows the token,                       0, 1, 0",
-        "the old word is of a session that is over,           1, 0, 1",
+        "newer heartbeats do not carry the token,             0, 0, 1",
+        "a newer heartbeat carries the token,                 0, 1, 0",
+        "the delayed heartbeat is of an ended session,        1, 0, 1",
     )
     fun `a delayed heartbeat with another attempt does not displace a recorded start that may still be executed`(
         name: String,
@@ -156,14 +156,14 @@
     }
 
     @Test
-    fun `elapsed time is no evidence for a worker that has not shown a token of this term`() {
+    fun `elapsed time proves nothing about a worker that has not sent this term's token`() {
         val leader = newLeader()
         leader.tick(ClusterSetup().workerLeaseMs * 10)
         assertEquals(1, leader.placements().size)
     }
 
     @Test
-    fun `elapsed time is no evidence for a worker that was answered but shows no token of this term`() {
+    fun `elapsed time proves nothing about a worker that was answered but has not sent this term's token`() {
         val leader = newLeader()
         leader.answerHeartbeat(heartbeat(1, 5, 0, ReportedTask("j-1", 0, 77, TaskState.Running)), 10)
         leader.tick(10 + ClusterSetup().workerLeaseMs + 1000)
@@ -171,7 +171,7 @@
     }
 
     @Test
-    fun `an expired lease is evidence for a worker that knows this term, and not a millisecond earlier`() {
+    fun `the tasks of a worker that knows this term are removed when its lease expires, and not earlier`() {
         val leader = newLeader()
         leader.answerHeartbeat(heartbeat(1, 5, token, ReportedTask("j-1", 0, 77, TaskState.Running)), 10)
         leader.tick(10 + ClusterSetup().workerLeaseMs)
@@ -182,18 +182,24 @@
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // Its lease is over after 12 s; a replacement would boot for 5 s and fetch its image for 5 s.
-        "waited for as long as a replacement would take,       true,  9999999, 21, 0",
-        "a silent machine is released while others are heard,  true,  9999999, 24, 1",
-        "not by a leader that hears nobody,                    false, 9999999, 60, 0",
-        "nor by one whose term may be over,                    true,  1000,    60, 0",
+        // The lease expires after 12 s; a replacement would boot for 5 s and fetch its image for 5 s.
+        "kept for as long as a replacement would take,         true,  9999999, 21, 0",
+        "released while other machines send heartbeats,        true,  9999999, 24, 1",
+        "kept by a leader that receives no heartbeat,          false, 9999999, 60, 0",
+        "kept by a leader whose lease may have expired,        true,  1000,    60, 0",
     )
-    fun `a machine past its lease`(name: String, othersHeard: Boolean, leaseUntil: Long, seconds: Long, released: Int) {
+    fun `a machine whose lease has expired is released only if other machines report`(
+        name: String,
+        othersReport: Boolean,
+        leaseUntil: Long,
+        seconds: Long,
+        released: Int,
+    ) {
         val leader = newLeader()
         leader.answerHeartbeat(heartbeat(1, 5, token, ReportedTask("j-1", 0, 77, TaskState.Running)), 10)
         leader.leaderLeaseRenewed(leaseUntil, 10)
         for (i in 1L..seconds) {
-            if (othersHeard) leader.answerHeartbeat(heartbeat(1, i, token).copy(machine = "vm-2"), i * 1000)
+            if (othersReport) leader.answerHeartbeat(heartbeat(1, i, token).copy(machine = "vm-2"), i * 1000)
             leader.tick(i * 1000)
         }
         assertEquals(released, leader.drainEffects().filterIsInstance<Effect.ScaleIn>().size, name)
@@ -201,21 +207,21 @@
 
     @ParameterizedTest(name = "{0}, for {3} s")
     @CsvSource(
-        // The first caches an image that a replacement would fetch for 5 s, the second nothing.
-        "left by an earlier leader,                     vm-1, false, 21, 0",
-        "left by an earlier leader,                     vm-1, false, 24, 1",
-        "named only by a word that was held back,       vm-3, true,  16, 0",
-        "named only by a word that was held back,       vm-3, true,  20, 1",
+        // vm-1 caches an image that a replacement would fetch for 5 s; vm-3 caches nothing.
+        "recorded by an earlier leader,                 vm-1, false, 21, 0",
+        "recorded by an earlier leader,                 vm-1, false, 24, 1",
+        "known only from a delayed heartbeat,           vm-3, true,  16, 0",
+        "known only from a delayed heartbeat,           vm-3, true,  20, 1",
     )
-    fun `a machine without a heartbeat under this term is waited for, and not for ever`(
+    fun `a machine without a heartbeat in this term is kept for a limited time`(
         case: String,
         machine: String,
-        word: Boolean,
+        delayedHeartbeat: Boolean,
         seconds: Long,
         released: Int,
     ) {
         val leader = newLeader()
-        if (word) leader.answerHeartbeat(heartbeat(1, 5, 0).copy(machine = machine), 10)
+        if (delayedHeartbeat) leader.answerHeartbeat(heartbeat(1, 5, 0).copy(machine = machine), 10)
         for (i in 1L..seconds) {
             leader.answerHeartbeat(heartbeat(1, i, token).copy(machine = "vm-2"), i * 1000)
             if (machine != "vm-1") leader.answerHeartbeat(heartbeat(1, i, token), i * 1000)
@@ -231,7 +237,7 @@
     }
 
     @Test
-    fun `the image of a task that an earlier leader started is known after its end`() {
+    fun `the image of a task that an earlier leader started is assumed to be cached after the task's end`() {
         val leader = newLeader()
         leader.answerHeartbeat(heartbeat(1, 5, token), 10)
         assertEquals(emptyList<Any>(), leader.placements())
@@ -239,7 +245,7 @@
     }
 
     @Test
-    fun `a finished job is written once, however often its end is reported`() {
+    fun `the terminal record of a job is written once, however often its end is reported`() {
         val leader = newLeader()
         for (i in 0 until 5) {
             val ended = Array(2) { ReportedTask("j-1", it, 77, TaskState.Ended(TerminationReason.DONE, false)) }
@@ -263,17 +269,17 @@
         assertEquals(2, leader.drainEffects().filterIsInstance<Effect.Send>().sumOf { it.commands.size })
     }
 
-    /** Whatever event comes first after a pause, the leader acts on none of them before its lease is renewed. */
+    /** Whichever event comes first after a suspension, the leader must not act on it before its lease is renewed. */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        "a report comes first",
-        "its clockwork comes first",
-        "a write is answered first",
-        "a command is answered first",
+        "a heartbeat comes first",
+        "a tick comes first",
+        "a commit outcome comes first",
+        "a command answer comes first",
         "a cancellation comes first",
-        "a peer proposes first",
+        "a placement proposal comes first",
     )
-    fun `a leader that resumes past its lease renews workers' leases, stops tasks and does nothing else`(first: String) {
+    fun `a leader that resumes after its lease has expired only answers heartbeats and stops tasks`(first: String) {
         val leader = newLeader()
         leader.answerHeartbeat(heartbeat(1, 5, token), 10)
         leader.answerHeartbeat(heartbeat(1, 6, token).copy(machine = "vm-2"), 10)
@@ -283,10 +289,10 @@
         leader.leaderLeaseRenewed(5_000, 1_000)
         val now = 14_000L
         when (first) {
-            "a report comes first" -> assertEquals(token, leader.answerHeartbeat(heartbeat(1, 7, token), now)!!.token)
-            "its clockwork comes first" -> leader.tick(now)
-            "a write is answered first" -> leader.committed(write.id, CommitOutcome.Applied(10), now)
-            "a command is answered first" -> leader.commandExecuted(99, heartbeat(1, 8, token), now)
+            "a heartbeat comes first" -> assertEquals(token, leader.answerHeartbeat(heartbeat(1, 7, token), now)!!.token)
+            "a tick comes first" -> leader.tick(now)
+            "a commit outcome comes first" -> leader.committed(write.id, CommitOutcome.Applied(10), now)
+            "a command answer comes first" -> leader.commandExecuted(99, heartbeat(1, 8, token), now)
             "a cancellation comes first" -> leader.cancel("j-1", now)
             else -> assertEquals(listOf(false), leader.acceptProposals(listOf(Proposal(leader.state.job("j-1")!!.index, 0, 0)), now))
         }
@@ -294,23 +300,23 @@
         leader.tick(now + 20)
         assertEquals(emptyList<Effect>(), leader.drainEffects().filter { it !is Effect.LogEvent }, first)
         assertEquals(false, leader.mayExecute(now + 30, needsLease = true))
-        assertTrue(leader.answerHeartbeat(heartbeat(1, 10, token), now + 40) != null, "workers are answered")
+        assertTrue(leader.answerHeartbeat(heartbeat(1, 10, token), now + 40) != null, "heartbeats are answered")
         assertEquals(emptyList<Effect>(), leader.drainEffects().filter { it is Effect.LogEvent && "UNREACHABLE" in it.message })
         leader.leaderLeaseRenewed(now + 5_000, now + 50)
         for (t in 100L..1_000L step 100) leader.tick(now + t)
-        assertTrue(leader.drainEffects().any { it is Effect.Commit }, "it goes on once the lease is known to be renewed")
+        assertTrue(leader.drainEffects().any { it is Effect.Commit }, "the leader goes on once its lease is renewed")
     }
 
-    /** Stops need no lease: a task of a finished job is stopped in every state of its leader, repeatedly until it is gone. */
+    /** Stops need no leader lease. In every state the leader stops a task of a cancelled job, repeatedly until it is gone. */
     @ParameterizedTest(name = "{0}")
-    @CsvSource("within the lease, 9999999", "past the lease, 3000", "woken past the lease, 3000")
-    fun `a cancelled task is stopped in any state of the leader`(state: String, leaseUntil: Long) {
+    @CsvSource("lease valid, 9999999", "lease expired, 3000", "resumed with the lease expired, 3000")
+    fun `a task of a cancelled job is stopped in every state of the leader lease`(state: String, leaseUntil: Long) {
         val leader = newLeader()
         leader.leaderLeaseRenewed(leaseUntil, 0)
         leader.answerHeartbeat(heartbeat(1, 5, token, ReportedTask("j-1", 0, 77, TaskState.Running)), 10)
         leader.cancel("j-1", 20)
         leader.drainEffects().filterIsInstance<Effect.Commit>().forEach { leader.committed(it.id, CommitOutcome.Applied(10), 30) }
-        val from = if (state.startsWith("woken")) 9_000L else 100L
+        val from = if (state.startsWith("resumed")) 9_000L else 100L
         val stops = ArrayList<Effect.Send>()
         leader.drainEffects().filterIsInstance<Effect.Send>().forEach {
             stops += it
@@ -327,9 +333,9 @@
         assertTrue(stops.count { it.commands.any { c -> c is Command.Stop } } >= 3, "$state: ${stops.size}")
     }
 
-    /** Without a proof a leader processes heartbeats but answers none until there is a proof again; see RenewalBoundTest. */
+    /** Without a proof that no later term has begun, heartbeats are processed but not answered; see RenewalBoundTest. */
     @Test
-    fun `workers are answered only while no other leader can have confirmed a cancellation`() {
+    fun `heartbeats are answered only while no other leader can have confirmed a cancellation`() {
         val leader =
             Leader(
                 ClusterSetup().cluster(),
@@ -348,17 +354,17 @@
         val end = 5_000 + RenewalBound.gracePeriodMs(ClusterSetup().cancelMs, ClusterSetup().workerLeaseMs)
         assertEquals(listOf(true, true, false), listOf(answered(5, 10), answered(6, end - 1), answered(7, end)))
         assertTrue(leader.drainEffects().any { it is Effect.LogEvent && it.event == "renewals-stopped" })
-        assertEquals(Phase.RUNNING, leader.placements().single().phase, "what it said is evidence all the same")
+        assertEquals(Phase.RUNNING, leader.placements().single().phase, "a heartbeat that is not answered is still processed")
         leader.peerConfirmed("m", end, 90_000, end + 50)
         assertTrue(answered(8, end + 100))
         assertTrue(leader.drainEffects().any { it is Effect.LogEvent && it.event == "renewals-resumed" })
         leader.tick(end + 100 + ClusterSetup().workerLeaseMs)
-        assertEquals(1, leader.placements().size, "its lease counts from the last answer")
+        assertEquals(1, leader.placements().size, "the worker lease counts from the last answer")
     }
 
-    /** That includes machines of which only the name is known, not the incarnation of the agent. */
+    /** Includes machines whose agent incarnation is not known. */
     @Test
-    fun `a new leader sends its fencing token to machines that may have tasks`() {
+    fun `a new leader sends its fencing token to every machine that may have tasks`() {
         val unknown = machineCheckpoint.copy(name = "vm-2", session = 0)
         val leader =
             Leader(
--- a/src/test/kotlin/org/honeyjunction/core/lease/RenewalBoundTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/lease/RenewalBoundTest.kt
@@ -8,11 +8,11 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 
-/** Until when a leader may renew worker leases, against every short sequence of refusals, outages, partitions and failovers. */
+/** Checks until when a leader may renew worker leases, for every short sequence of refusals, outages, partitions and failovers. */
 class RenewalBoundTest {
     /**
-     * `l` leased until, now; `v` confirmed: by, asked at, up for, now; `s` superseded; `w` time passes. The grace period is 20 s,
-     * the peers are b and c.
+     * Events: `l` the leader lease is renewed (until, now); `v` a peer confirms (by, asked at, up for, now); `s` a later term is
+     * observed; `w` time passes. The grace period is 20 s, and the peers are b and c.
      */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
@@ -20,22 +20,22 @@
         value = [
             "nothing known yet                                | s0 0                                       | 10    | EXPIRED",
             "within the lease                                 | l 5000 0                                   | 4999  | LEASED",
-            "past it, for as long as cancellations leave room | l 5000 0                                   | 24999 | GRACE_PERIOD",
-            "and no longer                                    | l 5000 0                                   | 25000 | EXPIRED",
+            "in the grace period after the lease             | l 5000 0                                   | 24999 | GRACE_PERIOD",
+            "after the grace period                          | l 5000 0                                   | 25000 | EXPIRED",
             "confirmations by all peers extend it             | l 5000 0, v b 9000 60000 9100, v c 8000 60000 9100 | 27999 | GRACE_PERIOD",
-            "to the oldest of them, counted from the request  | l 5000 0, v b 9000 60000 9100, v c 8000 60000 9100 | 28000 | EXPIRED",
+            "up to the oldest, counted from its request       | l 5000 0, v b 9000 60000 9100, v c 8000 60000 9100 | 28000 | EXPIRED",
             "a confirmation by one peer does not              | l 5000 0, v b 20000 60000 20100            | 25000 | EXPIRED",
-            "nor one by a peer that may have won before it restarted | l 5000 0, v b 9000 1000 9100, v c 9000 60000 9100 | 25000 | EXPIRED",
-            "one that restarted within the lease counts       | l 5000 0, v b 9000 5000 9100, v c 9000 60000 9100 | 28999 | GRACE_PERIOD",
-            "one that restarted since it last confirmed does not | l 5000 0, v b 9000 60000 9100, v c 9000 60000 9100, v b 20000 2000 " +
-                "20100, v c 20000 70000 20100 | 29000 | EXPIRED",
+            "a peer that may have won before its restart does not | l 5000 0, v b 9000 1000 9100, v c 9000 60000 9100 | 25000 | EXPIRED",
+            "a peer that restarted within the lease counts    | l 5000 0, v b 9000 5000 9100, v c 9000 60000 9100 | 28999 | GRACE_PERIOD",
+            "a peer that restarted after its last confirmation does not | l 5000 0, v b 9000 60000 9100, v c 9000 60000 9100, v b " +
+                "20000 2000 20100, v c 20000 70000 20100 | 29000 | EXPIRED",
             "a confirmation by an unknown node does not count | l 5000 0, v x 9000 60000 9100, v c 9000 60000 9100 | 25000 | EXPIRED",
             "a delayed confirmation does not shorten it       | l 5000 0, v b 9000 60000 9100, v c 9000 60000 9100, v b 7000 60000 " +
                 "9200 | 28999 | GRACE_PERIOD",
-            "a proof after the expiry renews it               | l 5000 0, w 26000, v b 26000 90000 26100, v c 26000 90000 26100 | " +
+            "a proof after the expiry permits renewals again  | l 5000 0, w 26000, v b 26000 90000 26100, v c 26000 90000 26100 | " +
                 "30000 | GRACE_PERIOD",
-            "so does the leader lease                         | l 5000 0, w 90000, l 95000 90000           | 90001 | LEASED",
-            "a later term ends it for good                    | l 5000 0, s 1000, l 9000 2000              | 2001  | SUPERSEDED",
+            "so does a renewed leader lease                   | l 5000 0, w 90000, l 95000 90000           | 90001 | LEASED",
+            "a later term ends renewals for good              | l 5000 0, s 1000, l 9000 2000              | 2001  | SUPERSEDED",
         ],
     )
     fun `until when heartbeats are answered`(case: String, events: String, now: Long, state: State) {
@@ -62,12 +62,12 @@
 
     @ParameterizedTest
     @CsvSource("37,12,23402", "47,22,23362", "53,28,23338", "20,19,-578", "10,12,-3543")
-    fun `the time that settings leave after a cancellation`(cancelS: Long, leaseS: Long, budgetMs: Long) {
+    fun `the cancellation budget and the grace period follow from the settings`(cancelS: Long, leaseS: Long, budgetMs: Long) {
         assertEquals(budgetMs, RenewalBound.cancellationBudgetMs(cancelS * 1000, leaseS * 1000))
         assertEquals(maxOf(0, 9_980 + budgetMs), RenewalBound.gracePeriodMs(cancelS * 1000, leaseS * 1000, 10_000))
     }
 
-    /** How a leader decides: by [RenewalBound], by the rule before it, or by one with a part left out. */
+    /** Decides whether a leader may renew leases: by [RenewalBound], by the rule that preceded it, or by an incomplete one. */
     private interface Rule {
         fun leased(until: Long, now: Long)
 
@@ -77,10 +77,11 @@
 
         fun renews(now: Long): Boolean
 
-        fun key(now: Long): List<Any>
+        fun stateKey(now: Long): List<Any>
     }
 
-    private class Current(
+    /** The rule of [RenewalBound]; the parameters leave parts of it out. */
+    private class RenewalBoundRule(
         peers: List<String> = listOf("b", "c"),
         gracePeriodMs: Long = GRACE_PERIOD_MS,
         private val checksUptime: Boolean = true,
@@ -101,32 +102,32 @@
 
         override fun renews(now: Long) = bound.on(Event.TimePassed(now)).let { bound.mayRenew }
 
-        override fun key(now: Long) = listOf(bound.state, (bound.noLaterTermUntil - now).coerceAtLeast(-CANCEL))
+        override fun stateKey(now: Long) = listOf(bound.state, (bound.noLaterTermUntil - now).coerceAtLeast(-CANCEL))
     }
 
-    /** The rule before: heartbeats are answered until a later term is observed. */
-    private class Former : Rule {
-        private var over = false
+    /** The preceding rule: heartbeats are answered until a later term is observed. */
+    private class PrecedingRule : Rule {
+        private var superseded = false
 
         override fun leased(until: Long, now: Long) = Unit
 
         override fun confirmed(by: String, askedAt: Long, upMs: Long, now: Long) = Unit
 
         override fun superseded(now: Long) {
-            over = true
+            superseded = true
         }
 
-        override fun renews(now: Long) = !over
+        override fun renews(now: Long) = !superseded
 
-        override fun key(now: Long) = listOf(over)
+        override fun stateKey(now: Long) = listOf(superseded)
     }
 
     /**
-     * A leads term 1 and has a worker with a task that goes on reporting to it. B may win the next term and confirm that the
-     * task's job is cancelled, at once if the worker has acknowledged its token, else after [confirmAfterMs]. C never campaigns.
-     * All act as PROTOCOL says.
+     * Simulates three controllers and a worker, all of which follow PROTOCOL. A leads term 1, and the worker with a task keeps
+     * sending heartbeats to A. B may win the next term and confirm the cancellation of the task's job: at once if the worker has
+     * acknowledged B's token, else [confirmAfterMs] after B's term began. C never campaigns.
      */
-    private class Run(private val rule: Rule, private val confirmAfterMs: Long) {
+    private class Simulation(private val rule: Rule, private val confirmAfterMs: Long) {
         private class Controller(var startedAt: Long) {
             var known = 0L
             var leads = 0L
@@ -147,15 +148,17 @@
         private var fenced = false
         private var confirmedAt: Long? = null
 
+        /** A peer's answer: when it was requested, the peer's uptime, and the latest term that the peer knows of. */
         private class Answer(val askedAt: Long, val upMs: Long, val known: Long)
 
-        private var late: Answer? = null
+        private var delayedAnswer: Answer? = null
 
         init {
             rule.leased(TERM_LEASE - MARGIN, now)
         }
 
-        var broken: String? = null
+        /** The violation that was found first; null if there is none. */
+        var violation: String? = null
             private set
 
         private fun step() {
@@ -179,7 +182,7 @@
             if (rule.renews(now) && !fenced) renewedAt = now
             val since = confirmedAt
             if (since != null && now - since > CANCEL && now - renewedAt <= WORKER_LEASE) {
-                broken = "the task is there ${now - since} ms after the cancellation"
+                violation = "the task still runs ${now - since} ms after the cancellation"
             }
         }
 
@@ -192,12 +195,12 @@
             if (answer.known > 1) rule.superseded(now) else rule.confirmed(name, answer.askedAt, answer.upMs, now)
         }
 
-        fun act(action: String): Run {
+        fun act(action: String): Simulation {
             when (action) {
                 "2 s pass", "5 s pass", "40 s pass" -> repeat(action.substringBefore(' ').toInt() * (1_000 / STEP).toInt()) { step() }
                 "the store refuses A" -> refusesA = !refusesA
                 "an outage" -> {
-                    // After it every lease has its full time again.
+                    // After an outage every lease has its full duration again.
                     if (outage && leader != null) leaseEndsAt = now + TERM_LEASE
                     outage = !outage
                 }
@@ -225,17 +228,18 @@
                     b.leads = 0
                     b.leasedUntil = Long.MIN_VALUE / 2
                 }
-                "B's answer is delayed" -> if (!partitionedA && late == null) late = Answer(now, now - b.startedAt, b.known)
+                "B's answer is delayed" ->
+                    if (!partitionedA && delayedAnswer == null) delayedAnswer = Answer(now, now - b.startedAt, b.known)
                 else ->
-                    late?.let {
+                    delayedAnswer?.let {
                         receive("b", it)
-                        late = null
+                        delayedAnswer = null
                     }
             }
             return this
         }
 
-        fun key() =
+        fun stateKey() =
             listOf(
                 term,
                 leader,
@@ -252,11 +256,11 @@
                 (now - b.wonAt).coerceAtMost(confirmAfterMs),
                 (now - renewedAt).coerceAtMost(CANCEL),
                 confirmedAt?.let { now - it },
-                late?.let { listOf(now - it.askedAt, it.upMs, it.known) },
-            ) + rule.key(now)
+                delayedAnswer?.let { listOf(now - it.askedAt, it.upMs, it.known) },
+            ) + rule.stateKey(now)
     }
 
-    /** Explores all that [DEPTH] actions after [first] can lead to, each state once. Returns the paths to a broken rule. */
+    /** Explores every state that [DEPTH] actions after [first] can lead to, each once. Returns the paths to violations. */
     private fun explore(first: List<String>, confirmAfterMs: Long = CONFIRM_AFTER, rule: () -> Rule): List<String> {
         val found = ArrayList<String>()
         val seen = HashSet<List<Any?>>()
@@ -266,11 +270,11 @@
             for (path in level) {
                 for (action in ACTIONS) {
                     val longer = path + action
-                    val run = longer.fold(Run(rule(), confirmAfterMs)) { run, next -> run.act(next) }
-                    val broken = run.broken
-                    if (broken != null) {
-                        found += longer.joinToString() + ": " + broken
-                    } else if (seen.add(run.key())) {
+                    val run = longer.fold(Simulation(rule(), confirmAfterMs)) { run, next -> run.act(next) }
+                    val violation = run.violation
+                    if (violation != null) {
+                        found += longer.joinToString() + ": " + violation
+                    } else if (seen.add(run.stateKey())) {
                         nextLevel += longer
                     }
                 }
@@ -282,32 +286,32 @@
     }
 
     @Test
-    fun `no sequence of eight lets a task outlive its cancellation, nor of eight more after a lost lease`() {
-        assertEquals(emptyList<String>(), explore(emptyList(), rule = ::Current))
-        assertEquals(emptyList<String>(), explore(LOST, rule = ::Current))
+    fun `no sequence of eight actions lets a task outlive its cancellation, neither at first nor after a lost lease`() {
+        assertEquals(emptyList<String>(), explore(emptyList(), rule = ::RenewalBoundRule))
+        assertEquals(emptyList<String>(), explore(LOST_LEASE, rule = ::RenewalBoundRule))
     }
 
-    /** Guards the exploration: each part of the rule, left out, is found. */
+    /** Checks the exploration itself: it must find a violation for each part of the rule that is left out. */
     @ParameterizedTest
     @CsvSource(
-        "the rule before it",
+        "the preceding rule",
         "one peer is enough",
         "the time since a restart is ignored",
         "a worker's lease is not counted",
         "no confirmation delay",
     )
-    fun `a rule with a part left out is found wrong`(which: String) {
+    fun `a rule with a part left out is found to be violated`(omission: String) {
         val found =
-            explore(LOST, if (which == "no confirmation delay") 0 else CONFIRM_AFTER) {
-                when (which) {
-                    "the rule before it" -> Former()
-                    "one peer is enough" -> Current(peers = listOf("c"))
-                    "the time since a restart is ignored" -> Current(checksUptime = false)
-                    "no confirmation delay" -> Current(gracePeriodMs = RenewalBound.gracePeriodMs(CANCEL, WORKER_LEASE, 20_000))
-                    else -> Current(gracePeriodMs = GRACE_PERIOD_MS + WORKER_LEASE)
+            explore(LOST_LEASE, if (omission == "no confirmation delay") 0 else CONFIRM_AFTER) {
+                when (omission) {
+                    "the preceding rule" -> PrecedingRule()
+                    "one peer is enough" -> RenewalBoundRule(peers = listOf("c"))
+                    "the time since a restart is ignored" -> RenewalBoundRule(checksUptime = false)
+                    "no confirmation delay" -> RenewalBoundRule(gracePeriodMs = RenewalBound.gracePeriodMs(CANCEL, WORKER_LEASE, 20_000))
+                    else -> RenewalBoundRule(gracePeriodMs = GRACE_PERIOD_MS + WORKER_LEASE)
                 }
             }
-        assertTrue(found.isNotEmpty(), which)
+        assertTrue(found.isNotEmpty(), omission)
     }
 
     private companion object {
@@ -320,7 +324,7 @@
         const val WORKER_LEASE = 12_000L
         const val CANCEL = 37_000L
         val GRACE_PERIOD_MS = RenewalBound.gracePeriodMs(CANCEL, WORKER_LEASE, CONFIRM_AFTER)
-        val LOST = listOf("the store refuses A", "5 s pass")
+        val LOST_LEASE = listOf("the store refuses A", "5 s pass")
         val ACTIONS =
             listOf(
                 "2 s pass",
--- a/src/test/kotlin/org/honeyjunction/core/lease/WorkerLeaseTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/lease/WorkerLeaseTest.kt
@@ -9,29 +9,34 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 
-/** The lease of a worker's session, against every short sequence of what PROTOCOL says can happen. */
+/** Checks the expiry of the lease of a worker's session, for every short sequence of events that PROTOCOL allows. */
 class WorkerLeaseTest {
     private val token = 3L shl 24
 
+    /**
+     * Events: `h` a message is received (session, sequence, 1 if it carries this term's token, now); `a` a heartbeat of a session is
+     * answered (session, now); `w` time passes.
+     */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
         delimiter = '|',
         value = [
-            "no message yet: time is no evidence               |                                  | 99999 | UNFENCED",
+            "no message yet: elapsed time proves nothing       |                                  | 99999 | UNFENCED",
             "a message without this term's token               | h 1 1 0 10                       | 99999 | UNFENCED",
-            "answered at 500: counted from there               | h 1 1 1 10, a 1 500              | 12500 | ACTIVE",
-            "answered at 500: expired after it and the margin  | h 1 1 1 10, a 1 500              | 12900 | EXPIRED",
-            // Once, tasks ran twice: the first message of session 2 was the answer to a command, long after the last heartbeat.
+            "answered at 500: the lease counts from then       | h 1 1 1 10, a 1 500              | 12500 | ACTIVE",
+            "answered at 500: expired after lease and margin   | h 1 1 1 10, a 1 500              | 12900 | EXPIRED",
+            // Tasks ran twice when the lease counted from the last response to any session: the first message of session 2 was the
+            // answer to a command, long after the last heartbeat.
             "a new session counts from its first message       | h 1 1 1 10, h 2 9 1 11000        | 12900 | ACTIVE",
-            "a response to the session before does not count   | h 2 1 1 10, a 1 9000             | 12900 | EXPIRED",
+            "a response to an earlier session does not count   | h 2 1 1 10, a 1 9000             | 12900 | EXPIRED",
             "a message of an expired session does not count    | h 1 1 1 10, w 13000, h 1 2 1 13100 | 13200 | EXPIRED",
-            "the next session after an expiry counts anew      | h 1 1 1 10, w 13000, h 2 1 1 20000 | 30000 | ACTIVE",
-            "and expires by itself, though never answered      | h 1 1 1 10, w 13000, h 2 1 1 20000 | 33000 | EXPIRED",
+            "the next session after an expiry is active        | h 1 1 1 10, w 13000, h 2 1 1 20000 | 30000 | ACTIVE",
+            "the next session expires if it is never answered  | h 1 1 1 10, w 13000, h 2 1 1 20000 | 33000 | EXPIRED",
             "an older message does not count                   | h 1 5 1 10, h 1 4 1 9000         | 12900 | EXPIRED",
             "the first message with this term's token counts   | h 1 1 0 10, h 1 2 1 9000         | 12900 | ACTIVE",
         ],
     )
-    fun `when the lease has expired`(case: String, events: String?, watchedAt: Long, state: State) {
+    fun `the state of a lease after messages and responses`(case: String, events: String?, checkedAt: Long, state: State) {
         val lease = WorkerLease(12_000, token)
         for (event in events.orEmpty().split(',').map { it.trim().split(' ') }.filter { it.size > 1 }) {
             val numbers = event.drop(1).map { it.toLong() }
@@ -43,27 +48,29 @@
                 },
             )
         }
-        lease.on(Event.TimePassed(watchedAt))
+        lease.on(Event.TimePassed(checkedAt))
         assertEquals(state, lease.state, case)
     }
 
-    /** How the leader decides on the lease: [WorkerLease], or the formula before it. */
+    /** Decides whether a lease has expired: by [WorkerLease], or by the faulty formula that preceded it. */
     private interface LeaseRule {
         val session: Long
 
+        /** A message is received. Returns whether it is newer than all earlier ones. */
         fun received(session: Long, sequence: Long, token: Long, now: Long): Boolean
 
         fun answered(session: Long, now: Long)
 
-        /** Whether all tasks that were started are proven gone by time. */
+        /** Whether the lease has just expired, which proves that all started tasks are gone. */
         fun expired(now: Long): Boolean
 
+        /** Whether tasks may be started. */
         val active: Boolean
     }
 
-    private fun current(term: Long, session: Long): LeaseRule = Adapter(WorkerLease(LEASE, term, session))
+    private fun workerLeaseRule(term: Long, session: Long): LeaseRule = WorkerLeaseRule(WorkerLease(LEASE, term, session))
 
-    private class Adapter(private val lease: WorkerLease) : LeaseRule {
+    private class WorkerLeaseRule(private val lease: WorkerLease) : LeaseRule {
         override val session get() = lease.session
 
         override fun received(session: Long, sequence: Long, token: Long, now: Long) =
@@ -78,8 +85,8 @@
         override val active get() = lease.state == State.ACTIVE
     }
 
-    /** The formula with which tasks ran twice: it counts from the last response to whatever session. */
-    private class Former(private val term: Long, override var session: Long) : LeaseRule {
+    /** The faulty formula, with which tasks ran twice: the lease counts from the last response to a heartbeat of any session. */
+    private class FaultyRule(private val term: Long, override var session: Long) : LeaseRule {
         private var sequence = -1L
         private var acked = -1L
         private var answeredAt = Long.MIN_VALUE / 2
@@ -115,7 +122,7 @@
         }
     }
 
-    /** A worker as PROTOCOL specifies it, with one task that may be started on it. */
+    /** A worker that follows PROTOCOL, with one task that may be started on it. */
     private class Worker {
         var session = 1L
         var sequence = 0L
@@ -133,8 +140,8 @@
 
     private class Message(val session: Long, val sequence: Long, val token: Long, val task: Boolean)
 
-    /** One leader after the other and one worker; every action is one that PROTOCOL allows. */
-    private class Run(private val rule: (Long, Long) -> LeaseRule) {
+    /** Simulates successive leaders and one worker. PROTOCOL allows every action. */
+    private class Simulation(private val rule: (Long, Long) -> LeaseRule) {
         private var now = 0L
         private var term = 1L
         private val worker = Worker()
@@ -143,13 +150,15 @@
         /** Whether the leader believes that the task may be on the worker. */
         private var placed = false
         private val delayed = ArrayDeque<Message>()
-        var broken: String? = null
+
+        /** The violation that was found; null if there is none. */
+        var violation: String? = null
             private set
 
         private fun send() = Message(worker.session, ++worker.sequence, worker.token, worker.task)
 
         private fun process(message: Message) {
-            // A report that shows this term's token and does not list the task proves it gone, as in HeartbeatProcessor.
+            // A report with this term's token that does not list the task proves that it is gone, as in HeartbeatProcessor.
             val accepted = leader.received(message.session, message.sequence, message.token, now)
             if (accepted && message.token >= term) placed = message.task
         }
@@ -180,7 +189,7 @@
             now += ms
             worker.advance(now)
             if (leader.expired(now)) {
-                if (worker.task) broken = "believed gone at $now, but runs in session ${worker.session}"
+                if (worker.task) violation = "the task counts as gone at $now, but runs in session ${worker.session}"
                 placed = false
             }
         }
@@ -208,10 +217,10 @@
                 "a start, answered" -> command(start = true, answered = true)
                 "a start, the answer is lost" -> command(start = true, answered = false)
                 "half a lease passes" -> pass(LEASE / 2 + 10)
-                "a little more" -> pass(WorkerLease.MARGIN_MS / 2)
+                "half the margin passes" -> pass(WorkerLease.MARGIN_MS / 2)
                 else -> {
                     term++
-                    // The record of the start is durable; the session may be remembered.
+                    // The new leader knows the durable record of the start, and may know the session.
                     leader = rule(term, leader.session)
                     placed = placed || worker.task
                 }
@@ -224,10 +233,10 @@
         val path = IntArray(depth)
 
         fun go(length: Int) {
-            val run = Run(rule)
+            val run = Simulation(rule)
             repeat(length) { run.act(path[it]) }
-            run.broken?.let { broken ->
-                found += path.take(length).joinToString { ACTIONS[it] } + ": " + broken
+            run.violation?.let { violation ->
+                found += path.take(length).joinToString { ACTIONS[it] } + ": " + violation
                 return
             }
             if (length == depth) return
@@ -236,7 +245,7 @@
                 go(length + 1)
             }
         }
-        // All begin with a worker that knows the term, so that the depth goes into what follows.
+        // Every path begins with a worker that knows the term, so that the depth is spent on what follows.
         path[0] = ACTIONS.indexOf("report, answered")
         path[1] = ACTIONS.indexOf("report, answered")
         go(2)
@@ -244,14 +253,14 @@
     }
 
     @Test
-    fun `no sequence of six more messages, losses, failovers and passing time breaks the lease rule`() {
-        assertEquals(emptyList<String>(), explore(8, ::current).take(3))
+    fun `no sequence of six messages, losses, failovers and delays makes a running task count as gone`() {
+        assertEquals(emptyList<String>(), explore(8, ::workerLeaseRule).take(3))
     }
 
-    /** Guards the exploration itself: it must find the formula that was wrong. */
+    /** Checks the exploration itself: it must find the violation by the faulty formula. */
     @Test
-    fun `the exploration finds the former formula wrong`() {
-        val found = explore(8, ::Former)
+    fun `the exploration finds the violation by the faulty formula`() {
+        val found = explore(8, ::FaultyRule)
         assertTrue(found.isNotEmpty())
         assertTrue(found.any { "a start, answered" in it && "a command, answered" in it }, found.take(3).toString())
     }
@@ -268,7 +277,7 @@
                 "a start, answered",
                 "a start, the answer is lost",
                 "half a lease passes",
-                "a little more",
+                "half the margin passes",
                 "the leader fails",
             )
     }
