--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/Explainer.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/Explainer.kt
@@ -12,57 +12,69 @@
 import org.honeyjunction.core.rules.Printer
 import org.honeyjunction.core.rules.RuleTable
 
-/** Remembers for a while why tasks were placed where they are, and explains why others are pending. Bounded in time and number. */
+/**
+ * Explains why tasks run on their machines and why others are pending. Explanations of placements are kept in memory for
+ * `explainMs`, for at most `explainTasks` tasks; see [org.honeyjunction.core.control.leader.Tuning].
+ */
 class Explainer(private val state: ClusterState, private val queue: PendingQueue, failures: FailureAttribution) {
     private class Decision(val at: Long, val explanation: Explanation)
 
     private val pendingReasons = PendingReasonReport(state, failures)
 
-    /** By task, the oldest decision first. */
+    /** Decisions by task identifier, the oldest first. */
     private val decisions =
         object : LinkedHashMap<String, Decision>() {
             override fun removeEldestEntry(eldest: Map.Entry<String, Decision>) = size > state.tuning.explainTasks
         }
 
-    /** The best forbidden machine by job: sought once for each job of one accepted set of proposals, or of one request. */
+    /**
+     * The best forbidden machine by job index. The search runs once for each job of an accepted set of proposals or of a
+     * request; see [begin].
+     */
     private val bestForbidden = HashMap<Int, Alternative?>()
 
-    /** Before each accepted set of proposals, and each request for explanations. */
+    /** Clears what is cached for one batch; to be called before each set of proposals and each request for explanations. */
     fun begin() = bestForbidden.clear()
 
-    /** A start that was just accepted, with all others of its job; [imageCached]: its machine had the image already. */
-    fun note(placement: Placement, imageCached: Boolean, now: Long) {
+    /**
+     * Records the explanation of a start that was just accepted, once all starts of its job are reserved. [imageCached] says
+     * whether the machine had the image before the reservation.
+     */
+    fun recordDecision(placement: Placement, imageCached: Boolean, now: Long) {
         val task = placement.task
         val localityGb = if (imageCached) 0.0 else state.tuning.cost.alpha * task.job.spec.imageGb
         decisions.remove(task.id)
         decisions[task.id] = Decision(now, explainPlaced(task, placement.machine, now, localityGb))
     }
 
-    /** Forgets decisions that are older than the settings ask for. */
+    /** Drops decisions that are older than the settings keep them. */
     fun step(now: Long) {
         while (decisions.isNotEmpty() && now - decisions.values.first().at > state.tuning.explainMs) {
             decisions.remove(decisions.keys.first())
         }
     }
 
-    /** [moreReasons] are appended to why a pending task waits. Null: it was placed too long ago, or is over. */
-    fun explain(task: Task, now: Long, moreReasons: List<String>): Explanation? {
+    /**
+     * Explains where [task] is, or why it is pending; [additionalReasons] are appended to the reasons of a pending task. Null
+     * for an ended task whose decision is no longer kept.
+     */
+    fun explain(task: Task, now: Long, additionalReasons: List<String>): Explanation? {
         step(now)
-        val over = task.done || task.job.stage != JobStage.ACTIVE
+        val ended = task.done || task.job.stage != JobStage.ACTIVE
         val remembered = decisions[task.id]?.explanation
-        if (remembered != null && (over || task.placements.any { it.machine.name == remembered.machine })) return remembered
-        if (over) return null
-        val placement = task.placements.firstOrNull() ?: return explainPending(task, now, moreReasons)
+        if (remembered != null && (ended || task.placements.any { it.machine.name == remembered.machine })) return remembered
+        if (ended) return null
+        val placement = task.placements.firstOrNull() ?: return explainPending(task, now, additionalReasons)
         return explainPlaced(task, placement.machine, null, 0.0)
     }
 
-    /** The explanation of a task, by its name, whose job is not known any more. */
+    /** The explanation that is kept of the task with this identifier, whose job the leader no longer knows. */
     fun remembered(taskId: String, now: Long): Explanation? {
         step(now)
         return decisions[taskId]?.explanation
     }
 
-    private fun explainPending(task: Task, now: Long, moreReasons: List<String>) =
+    private fun explainPending(task: Task, now: Long, additionalReasons: List<String>) =
         Explanation(
             task = task.id,
             machine = null,
@@ -72,7 +84,7 @@
             fairness = fairness(task.job),
             localityGb = 0.0,
             bestForbidden = null,
-            pendingReasons = pendingReasons.of(task, now) + moreReasons,
+            pendingReasons = pendingReasons.reasons(task, now) + additionalReasons,
         )
 
     private fun explainPlaced(task: Task, machine: Machine, decidedAt: Long?, localityGb: Double): Explanation {
@@ -88,12 +100,12 @@
             rules = lines,
             fairness = fairness(job),
             localityGb = localityGb,
-            bestForbidden = forbidden?.takeIf { it.costGb < costGb - SLACK },
+            bestForbidden = forbidden?.takeIf { it.costGb < costGb - COST_TOLERANCE_GB },
             pendingReasons = emptyList(),
         )
     }
 
-    /** The clauses of the job's own rules, met or not, and those of other jobs' rules that are not met beside [task]. */
+    /** The clauses of the job's own rules, met or not, and the clauses of other jobs' rules that [task] violates on [machine]. */
     private fun ruleLines(task: Task, machine: Machine): List<RuleLine> {
         val job = task.job
         val lines = ArrayList<RuleLine>()
@@ -105,7 +117,10 @@
         return lines
     }
 
-    /** For "same": where most of the job's tasks are, by the label that the clause asks for. */
+    /**
+     * For a clause that asks for the same place: the place that shares the label of the clause with most of the job's tasks.
+     * Empty for other clauses.
+     */
     private fun commonPlace(job: Job, clause: Int): List<Int> {
         val table = state.book.table
         if (!table.clauses[clause].same || job.placements.isEmpty()) return emptyList()
@@ -126,11 +141,11 @@
     private fun localityGb(job: Job, machine: Machine): Double =
         if (job.image in machine.images) 0.0 else state.tuning.cost.alpha * job.spec.imageGb
 
-    /** By the same calculation as in a placement round. */
+    /** The fairness cost of a task of [job], calculated as in a placement round. */
     private fun fairness(job: Job): Double =
         CostMatrix(Summary(emptyList(), queue.teams(), 0, emptyList()), state.tuning.cost).groupCost(job.team)
 
-    /** Of the machines with room that only a rule forbids, the one with the least cost. */
+    /** Among the machines that have room and that only a rule forbids, the one with the least cost. */
     private fun findBestForbidden(job: Job, task: Task): Alternative? {
         if (!mayBeForbidden(job)) return null
         return state.machines
@@ -147,7 +162,7 @@
         return Alternative(machine.name, localityGb(job, machine) + penaltyGb, rule, Printer.text(state.book.clause(breach.clause)))
     }
 
-    /** Whether some hard rule, the job's own or another's, may keep its tasks from a machine. */
+    /** Whether a hard rule of the job or of another job may forbid a machine for the job's tasks. */
     private fun mayBeForbidden(job: Job): Boolean {
         if (job.shape < 0) return false
         val table = state.book.table
@@ -156,6 +171,7 @@
     }
 
     private companion object {
-        const val SLACK = 1e-9
+        /** Costs that differ by less are equal: differences of this size are rounding errors. */
+        const val COST_TOLERANCE_GB = 1e-9
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/Explanation.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/Explanation.kt
@@ -1,25 +1,28 @@
 package org.honeyjunction.core.control.jobs
 
-/** What one rule says of a placement; [costGb] is what a preference that was not met added, null where nothing. */
+/** How a placement meets one clause of a rule; [costGb] is the cost of a preference that is not met, null if there is none. */
 data class RuleLine(val rule: String, val clause: String, val must: Boolean, val met: Boolean, val costGb: Double?)
 
-/** A machine that would have cost less, had a rule not forbidden it. */
+/** A machine that was forbidden by a clause of a rule; [costGb] is what the task would have cost there. */
 data class Alternative(val machine: String, val costGb: Double, val rule: String, val clause: String)
 
-/** Why a task is where it is, or why it is pending. Costs in gigabytes, fairness in its own unit (per cent of the fair share). */
+/** Why a task is on its machine, or why it is pending. Costs are in gigabytes, fairness is in per cent of the fair share. */
 class Explanation(
     val task: String,
-    /** Where the task is; null while it is pending. */
+    /** The machine of the task; null while the task is pending. */
     val machine: String?,
-    /** When it was placed; null where the rules are evaluated as things stand now, since another leader placed it. */
+    /** When the task was placed; null if no decision is kept (another leader placed it, say): its rules are then evaluated anew. */
     val decidedAt: Long?,
-    /** Of the rules in force. */
+    /** The version of the rules that the explanation is based on. */
     val version: Long,
+    /** The clauses that concern the placement; empty for a pending task. */
     val rules: List<RuleLine>,
+    /** The fairness cost of the task's team. */
     val fairness: Double,
+    /** The cost of fetching the image; 0 where the machine had it, and where no decision is kept. */
     val localityGb: Double,
-    /** The best machine that a rule forbade, if it would have cost less. */
+    /** The cheapest machine that a rule forbade, if the task would have cost less there. */
     val bestForbidden: Alternative?,
-    /** Why it is pending, the nearest reason first; empty for a task that is on a machine. */
+    /** Why the task is pending, the most immediate reason first; empty for a task that is on a machine. */
     val pendingReasons: List<String>,
 )
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/FailureHandler.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/FailureHandler.kt
@@ -9,13 +9,15 @@
 import org.honeyjunction.core.model.MachinePhase
 import org.honeyjunction.core.model.Placement
 
-/** Carries out what [FailureAttribution] concludes: when a job is tried again, and which machines take no work. */
+/** Applies the conclusions of [FailureAttribution]: when a job is retried, and which machines are quarantined or drained. */
 internal class FailureHandler(private val state: ClusterState, private val attribution: FailureAttribution) {
+    /** A task of [job] completed on [machine]. */
     fun succeeded(job: Job, machine: Machine, now: Long) {
         applyHealth(attribution.succeeded(job.index, machine.index, now))
         job.failing = false
     }
 
+    /** The attempt [placement] failed. */
     fun failed(placement: Placement, now: Long) {
         val job = placement.task.job
         val machine = placement.machine
@@ -27,10 +29,10 @@
         job.notBefore = now + conclusion.pauseMs
     }
 
-    /** The job ended: its failures say no more of the machines. */
+    /** The job ended: its failures no longer count against machines. */
     fun jobEnded(job: Job, now: Long) = applyHealth(attribution.jobEnded(job.index, now))
 
-    /** How long a try on another machine may need: a fetch, and as long as this one took to fail. */
+    /** Time that a retry on another machine may need: twice the time that this attempt took to fail, two reports and a fetch. */
     private fun retryMs(placement: Placement, now: Long): Long {
         val fetchGbPerS = state.cluster.types[placement.machine.type]?.fetchGbPerS ?: 1.0
         val fetchMs = (placement.task.job.spec.imageGb / fetchGbPerS * 1000).toLong()
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/JobLifecycle.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/JobLifecycle.kt
@@ -20,21 +20,21 @@
 import org.honeyjunction.core.model.TerminalRecord
 
 /**
- * How jobs end: results of tasks, finished and cancelled jobs. What may be told to whom meanwhile is [TerminalRecord]'s to say.
+ * Ends jobs: handles task results, completion and cancellation. [TerminalRecord] defines what users may be told meanwhile.
  *
  * A job ends in these steps, whether all its tasks are done or its user cancels it:
  *
  * | step | where | what happens |
  * | --- | --- | --- |
- * | 1. asked for | [taskDone] of the last task, [cancel] | of a cancelled job nothing is started any more and all tasks are stopped |
- * | 2. permitted | [mayConfirm] | a cancellation waits here until no former leader can keep a task alive |
- * | 3. written | [write] | a compare-and-swap of the job's active record, on the leader's term too |
- * | 4. in doubt | [read], [recordRead] | without a clear answer the record is read, and written again if it is still active |
- * | 5. confirmed | [over] | the final state is durable: [Effect.CancellationConfirmed] answers whoever waits |
+ * | 1. requested | [taskDone] of the last task, [cancel] | no task of a cancelled job is started any more, and all are stopped |
+ * | 2. permitted | [mayConfirm] | a cancellation waits here until no former leader can renew the lease of its workers |
+ * | 3. written | [write] | a compare-and-swap on the job's active record and on the leader's term |
+ * | 4. in doubt | [read], [recordRead] | after an unclear answer the record is read, and written again if it is still active |
+ * | 5. confirmed | [applyFinalState] | the final state is durable: [Effect.CancellationConfirmed] answers the waiting requests |
  *
- * So a cancellation is confirmed in [over] alone. It may be, because the final state is durable and [mayConfirm] held when
- * its write was sent. The tasks may run on for a moment: their workers are told to stop, and a worker that can't be reached
- * stops them when its lease expires, within the time that the settings give a cancellation.
+ * So only [applyFinalState] confirms a cancellation. This is safe because the final state is durable and [mayConfirm] held
+ * when its write was sent. Tasks may still run for a short time: their workers are told to stop them, and a worker that can't
+ * be reached stops them when its lease expires, within the time limit that the settings define for cancellations.
  */
 class JobLifecycle(
     private val state: ClusterState,
@@ -50,7 +50,7 @@
     /** Whether a worker's lease can expire within the time that the settings give a cancellation. */
     private val leaseFitsCancellation = RenewalBound.cancellationBudgetMs(state.cluster.cancelMs, state.cluster.leaseMs) > 0
 
-    /** A worker has shown the result; [machine]: where the task did its work, if that is known. */
+    /** A worker reported the result of [task]; [machine] is where the task ran, if known. */
     fun taskDone(task: Task, machine: Machine?, now: Long) {
         val job = task.job
         if (machine != null) failures.succeeded(job, machine, now)
@@ -60,7 +60,7 @@
         if (job.unfinished == 0) recordsDue += job
     }
 
-    /** A result that an earlier term has written. */
+    /** Takes over a result that an earlier term recorded. */
     fun restore(task: Task) {
         if (!task.job.finish(task)) return
         task.doneDurable = true
@@ -70,7 +70,7 @@
     /** An attempt failed: see [FailureHandler]. */
     fun failed(placement: Placement, now: Long) = failures.failed(placement, now)
 
-    /** The job's user asks to cancel it: it is stopped at once, and confirmed in [over]. */
+    /** Cancels [job] for its user: its tasks are stopped at once; [applyFinalState] confirms the cancellation. */
     fun cancel(job: Job, now: Long) {
         if (job.terminalRecord.state != TerminalRecord.State.OPEN) return
         job.cancelRequested = true
@@ -79,7 +79,7 @@
         flush(now)
     }
 
-    /** Takes each due terminal record one step further. */
+    /** Advances each due terminal record by one step. */
     fun flush(now: Long) {
         if (recordsDue.isEmpty()) return
         val due = recordsDue.toList()
@@ -91,18 +91,19 @@
         when (job.terminalRecord.state) {
             TerminalRecord.State.OPEN -> if (mayConfirm(job, now)) write(job, now) else recordsDue += job
             TerminalRecord.State.OUTCOME_UNKNOWN -> read(job)
-            // An earlier write may take effect at any moment: while none may be sent, the record is read again.
+            // An earlier write may still take effect. While no new write may be sent, the record is read again.
             TerminalRecord.State.PENDING -> if (mayConfirm(job, now)) write(job, now) else read(job)
-            // Workers report an ended task until it is reaped, so this is asked again: the answer on its way leads on.
+            // Workers repeat the report of an ended task until it is reaped, so a record may become due again here. The
+            // answer to the request that is on its way advances it.
             TerminalRecord.State.WRITING, TerminalRecord.State.READING, TerminalRecord.State.RECORDED -> Unit
         }
 
     /**
-     * Whether the end of [job] may become durable. That all its tasks are done is so for ever. A confirmed cancellation must
-     * end its tasks in time, whatever fails from then on: nobody but this leader may be able to renew the lease of a worker
-     * that may have one. So every such worker must have acknowledged this term's fencing token, or the time must be over in
-     * which former leaders may renew leases; see [RenewalBound]. Where the settings leave no room for a lease, the tasks
-     * must be gone.
+     * Whether the final state of [job] may become durable. A job whose tasks are all done can always be recorded, since results
+     * are final. After a cancellation is confirmed, the tasks must end within the time limit whatever fails: only this leader
+     * may be able to renew the lease of a worker that may run one. So every such worker must have acknowledged this term's
+     * fencing token, or the time in which former leaders may renew leases must be over; see [RenewalBound]. If a lease can't
+     * expire within the time limit that the settings define, the tasks must be gone first.
      */
     private fun mayConfirm(job: Job, now: Long): Boolean {
         if (job.unfinished == 0) return true
@@ -113,11 +114,11 @@
     }
 
     private fun write(job: Job, now: Long) {
-        // A job with unfinished tasks is here because it was cancelled.
+        // A job with unfinished tasks only gets here because it was cancelled.
         val cancelled = job.terminalRecord.beginWrite(job.unfinished > 0)
         state.commit(listOf(Change.JobFinished(job.spec.id, job.version, cancelled))) { outcome ->
             if (outcome is CommitOutcome.Applied) {
-                over(job, cancelled, now)
+                applyFinalState(job, cancelled, now)
             } else {
                 job.terminalRecord.writeUnanswered()
                 recordsDue += job
@@ -131,14 +132,14 @@
     }
 
     /**
-     * The answer to [Effect.ReadJobRecord]. A final state that stands is taken over, whoever wrote it. A record that none of
-     * this term's writes explains ends the term.
+     * Handles the answer to [Effect.ReadJobRecord]. A durable final state is taken over, whichever leader wrote it. The
+     * leader steps down if the record is missing, or active in another version: none of its own writes explains that.
      */
     fun recordRead(job: Job, found: JobRecord, now: Long) {
         val record = job.terminalRecord
         if (record.state != TerminalRecord.State.READING) return
         when (found) {
-            is JobRecord.Finished -> return over(job, found.cancelled, now)
+            is JobRecord.Finished -> return applyFinalState(job, found.cancelled, now)
             is JobRecord.Active -> {
                 record.readStillActive()
                 if (found.version != job.version) return stepDown(job)
@@ -156,8 +157,8 @@
         state.effects += Effect.StepDown("the record of ${job.spec.id} differs from what this term knows")
     }
 
-    /** The final state is durable: from here on it may be told to everybody, and whoever waits for it is answered. */
-    private fun over(job: Job, cancelled: Boolean, now: Long) {
+    /** The final state is durable: from here on it may be reported to any user, and requests that wait for it are answered. */
+    private fun applyFinalState(job: Job, cancelled: Boolean, now: Long) {
         job.enter(if (cancelled) JobStage.CANCELLED else JobStage.DONE)
         failures.jobEnded(job, now)
         fairness.recordEnded(job.counted(now), done = !cancelled)
@@ -168,5 +169,5 @@
     }
 }
 
-/** The job as the fairness monitor counts it. */
+/** What the [FairnessMonitor] counts of this job. */
 fun Job.counted(now: Long) = CountedJob(spec.jobClass, spec.team, started || doneCount > 0, now - createdAt, spec.tasks)
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/MachineCapacity.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/MachineCapacity.kt
@@ -11,9 +11,9 @@
 import org.honeyjunction.core.placement.FreeCapacity
 import org.honeyjunction.core.placement.UpcomingCapacity
 
-/** What the machines have free now, and are expected to have soon, as placement and the autoscaler read it. */
+/** Computes the free capacity of machines, now and in the near future, for placement and the autoscaler. */
 class MachineCapacity(private val state: ClusterState) {
-    /** What [machine] has free; [upcoming]: what its tasks are expected to free soon. */
+    /** The free capacity of [machine]; [upcoming] is the capacity that its tasks are expected to release. */
     fun of(machine: Machine, now: Long, upcoming: List<UpcomingCapacity> = emptyList()): FreeCapacity {
         val heldFor = state.reservedFor(machine, now)
         return FreeCapacity(
@@ -34,23 +34,26 @@
         )
     }
 
-    /** The machines that have room for one of [demands], or are expected to soon for one whose image they cache. */
+    /**
+     * The machines that have room for a task of [demands], and those that cache the image of a task and are expected to
+     * release capacity soon.
+     */
     fun usableFor(demands: List<Wanted>, now: Long): List<FreeCapacity> {
         val images = demands.mapTo(HashSet()) { it.sample.image }
         return openMachines().mapNotNull { machine ->
             val cachesImage = machine.images.keys.any { it in images }
-            val upcoming = if (cachesImage) soonEnough(machine, now) else emptyList()
+            val upcoming = if (cachesImage) upcomingWithinWait(machine, now) else emptyList()
             if (upcoming.isEmpty() && !fitsAny(machine, demands, now)) null else of(machine, now, upcoming)
         }
     }
 
-    /** All machines that take work and have anything free. */
+    /** All machines that accept tasks and have both CPU and memory free. */
     fun allFree(now: Long): List<FreeCapacity> =
         openMachines()
-            .filter { machine -> state.room(machine).let { it.cpus > LEAST_ROOM && it.memoryGb > LEAST_ROOM } }
+            .filter { machine -> state.room(machine).let { it.cpus > MIN_FREE && it.memoryGb > MIN_FREE } }
             .map { of(it, now) }
 
-    /** When the tasks of [machine] that end by themselves are expected to end, and what they free. */
+    /** When the tasks of [machine], except those of services, are expected to end, and the capacity that each releases. */
     fun upcoming(machine: Machine, now: Long): List<UpcomingCapacity> =
         machine.placements.values.mapNotNull { placement ->
             val spec = placement.task.job.spec
@@ -58,7 +61,7 @@
             UpcomingCapacity(placement.expectedRemainingS(now), spec.need)
         }
 
-    /** How many tasks as small as the smallest of the active jobs all machines could run, free or not. */
+    /** How many tasks of the size of the smallest active job's all machines could run if they were empty. */
     fun slots(): Int {
         val smallest = state.active.values.minByOrNull { it.spec.need.gpus * 1000 + it.spec.need.cpus }?.spec?.need ?: return 0
         val perType = state.cluster.types.mapValues { smallest.countIn(it.value.size).coerceAtMost(MAX_SLOTS_PER_MACHINE) }
@@ -77,13 +80,13 @@
         return demands.any { it.sample.allows(machine.type, machine.zone, machine.spot, floor, free) }
     }
 
-    /** Of machines with a running task: what gets free no later than the largest image would take to fetch. */
-    private fun soonEnough(machine: Machine, now: Long): List<UpcomingCapacity> {
+    /** The capacity that [machine] is expected to release within [MAX_AWAIT_S]; empty if none of its tasks is running. */
+    private fun upcomingWithinWait(machine: Machine, now: Long): List<UpcomingCapacity> {
         if (machine.placements.values.none { it.phase == Phase.RUNNING }) return emptyList()
         return upcoming(machine, now).filter { it.inS <= MAX_AWAIT_S }
     }
 
-    /** What [machine] has still to fetch, estimated from how long it has been fetching: its images share its rate. */
+    /** Gigabytes that [machine] still has to fetch, estimated from the elapsed time: concurrent fetches share its rate evenly. */
     private fun fetchingGb(machine: Machine, now: Long): Double {
         val fetches =
             machine.placements.values
@@ -94,16 +97,19 @@
         return fetches.sumOf { placement ->
             val imageGb = placement.task.job.spec.imageGb
             val fetchedGb = if (placement.phase == Phase.FETCHING) (now - placement.since) / 1000.0 * rate else 0.0
-            maxOf(imageGb - fetchedGb, imageGb * LEAST_LEFT)
+            maxOf(imageGb - fetchedGb, imageGb * MIN_REMAINING_PART)
         }
     }
 
     private companion object {
-        const val LEAST_ROOM = 1e-6
+        /** CPUs or gigabytes; smaller amounts are rounding errors of a full machine. */
+        const val MIN_FREE = 1e-6
         const val MAX_SLOTS_PER_MACHINE = 1000
+
+        /** About as long as the largest image takes to fetch: waiting for longer saves nothing over a fetch elsewhere. */
         const val MAX_AWAIT_S = 60.0
 
-        /** A fetch that takes longer than it should is taken to have this part left. */
-        const val LEAST_LEFT = 0.1
+        /** The part of an image that is assumed to be missing still when its fetch takes longer than estimated. */
+        const val MIN_REMAINING_PART = 0.1
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/MachineEligibility.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/MachineEligibility.kt
@@ -9,8 +9,8 @@
 import org.honeyjunction.core.model.mayUse
 import org.honeyjunction.core.model.zonesFor
 
-// What a job's own specification allows: types, spot machines, and zones beside its other tasks. The operators' rules and the
-// free room are checked elsewhere.
+// Checks a job's own specification: machine types, spot machines, and zones in relation to the job's other tasks. Operators'
+// rules and free capacity are checked elsewhere.
 
 /** Whether [machine] is of a type, in a zone and of a kind (spot or not) that [job] allows, given where its other tasks are now. */
 fun ClusterState.isEligible(job: Job, task: Task, machine: Machine): Boolean {
@@ -25,7 +25,7 @@
     if (!job.spec.oneZone && !job.spec.spread) return ALL_ZONES
     val others = job.placements.filter { it.task !== task }
     if (job.spec.oneZone && others.isNotEmpty()) {
-        // Leaving tasks keep their zone until they are gone.
+        // A task that is being stopped still counts: the zone is fixed until the task is gone.
         return others.map { zoneBit(it.machine) }.reduce { a, b -> a and b }
     }
     if (!job.spec.spread) return ALL_ZONES
@@ -33,19 +33,19 @@
     return open.indices.fold(0L) { mask, zone -> if (open[zone] > 0) mask or (1L shl zone) else mask }
 }
 
-/** How many more tasks of a spread job each zone may take: half of the tasks, rounded up, less what is or may be there. */
+/** How many more tasks of a spread job each zone may take: half of the job's tasks, rounded up, less those that are or may be there. */
 fun ClusterState.openPerZone(job: Job, placements: Collection<Placement> = job.placements): List<Int> {
-    val most = (job.spec.tasks + 1) / 2
-    val open = IntArray(cluster.zones.size) { most }
+    val maxPerZone = (job.spec.tasks + 1) / 2
+    val open = IntArray(cluster.zones.size) { maxPerZone }
     for (placement in placements) {
         val zone = placement.machine.zone
-        // A machine whose zone is not known may be in any.
+        // A machine of unknown zone may be in any of them, so it counts in each.
         if (zone != NameTable.ABSENT) open[zone]-- else open.indices.forEach { open[it]-- }
     }
     return open.asList()
 }
 
-/** A machine of which only the name is known so far may be in any zone: no zone is certain to be the same. */
+/** The zone of [machine] as a bit mask; empty while the zone is unknown, since no zone is then certain to be the same. */
 private fun zoneBit(machine: Machine) = if (machine.zone == NameTable.ABSENT) 0L else 1L shl machine.zone
 
 private const val ALL_ZONES = -1L
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/PendingQueue.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/PendingQueue.kt
@@ -10,26 +10,29 @@
 import org.honeyjunction.core.placement.TeamShare
 
 /**
- * The waiting tasks in the order in which they are to start, within the teams' limits: what placement rounds and the
- * autoscaler work on. Limits are in [TeamQuota], the machines' side in [MachineCapacity], the rows in [TaskRows].
+ * The waiting tasks within the teams' limits, in the order in which they are to start; input of placement rounds and of the
+ * autoscaler. [TeamQuota] applies the limits, [MachineCapacity] computes what machines have free, [TaskRows] builds the rows.
  */
 class PendingQueue(private val state: ClusterState) {
+    /** Builds the rows of the placement matrix. */
     val rows = TaskRows(state)
+
+    /** Computes what machines have free. */
     val capacity = MachineCapacity(state)
     private val guarantees = GuaranteeMarker(state)
 
-    /** The waiting tasks within the teams' limits, job by job in the order in which they are to start. */
+    /** The waiting tasks of jobs that [owner] accepts, within the teams' limits, job by job in the order in which they are to start. */
     fun demands(now: Long, owner: (Job) -> Boolean = { true }): List<Wanted> {
         guarantees.refresh(now)
         val quotas = HashMap<Int, TeamQuota>()
         return state.active.values
-            // What is reserved for a gang is kept from all jobs of its team, whoever owns them.
+            // A gang's reservation limits all jobs of its team, so gangs of other controllers have to be considered too.
             .filter { it.isPending(now) && (it.spec.kind == JobKind.GANG || owner(it)) }
             .sortedWith(startOrder(now))
             .mapNotNull { demand(it, now, quotas.getOrPut(it.team) { TeamQuota(state, it.team, now) }, owner) }
     }
 
-    /** Waiting jobs that only their team's limit keeps out of [demands]. */
+    /** The waiting jobs that are missing in [demands] because of their team's limit. */
     fun beyondLimits(demands: List<Wanted>, now: Long): List<Wanted> {
         val wanted = demands.mapTo(HashSet()) { it.sample.job }
         return state.active.values
@@ -41,17 +44,20 @@
             }
     }
 
-    /** What one controller needs for a round: its waiting tasks, [limit] at most, and the machines that could take one of them. */
+    /**
+     * The input of one controller's placement round: at most [limit] waiting tasks of the jobs that [owner] accepts, and the
+     * machines that could take one of them.
+     */
     fun summary(now: Long, limit: Int, owner: (Job) -> Boolean): Summary {
         val demands = demands(now, owner)
         if (demands.isEmpty()) return Summary(emptyList(), emptyList(), 0, emptyList())
         val usable = capacity.usableFor(demands, now)
         val fitting = FirstFitEstimate(usable, state.book.table)
         val selected = rows.select(demands, fitting, now, limit)
-        return Summary(fitting.bounded(usable, selected, MAX_ROOMS), teams(), capacity.slots(), selected, state.book.table)
+        return Summary(fitting.bounded(usable, selected, MAX_MACHINES), teams(), capacity.slots(), selected, state.book.table)
     }
 
-    /** Each team's weight, which follows from its guarantee, and its running tasks. */
+    /** Each team's weight, derived from its guarantee, and the number of its running tasks. */
     fun teams(): List<TeamShare> = state.cluster.teams.mapIndexed { index, team -> TeamShare(weight(team.guarantee), state.running(index)) }
 
     private fun Job.isPending(now: Long) = !waiting.isEmpty && startable && notBefore <= now
@@ -64,7 +70,10 @@
             .thenBy { it.missesDeadline(now) }
             .thenBy { it.createdAt }
 
-    /** What of [job] may start now, with which [quota] is charged; null: nothing, or another controller is its [owner]. */
+    /**
+     * The tasks of [job] that may start now, which are charged to [quota]; null if there are none, or if [owner] does not
+     * accept the job.
+     */
     private fun demand(job: Job, now: Long, quota: TeamQuota, owner: (Job) -> Boolean): Wanted? {
         val count = startableTasks(job, quota)
         if (count == 0 || !owner(job)) return null
@@ -73,11 +82,11 @@
     }
 
     private fun startableTasks(job: Job, quota: TeamQuota): Int {
-        // Of a job that fails wherever it is tried, one task at a time is started.
+        // A job that fails on every machine is retried with one task at a time.
         if (job.failing && job.placements.isNotEmpty()) return 0
         val waiting = job.waiting.cardinality()
         if (job.spec.kind != JobKind.GANG) return quota.allowedTasks(job, if (job.failing) 1 else waiting)
-        // A gang starts whole: some of its tasks may still be on machines.
+        // A gang starts as a whole, so it waits while tasks of an earlier attempt are still on machines.
         if (waiting < job.unfinished) return 0
         return if (quota.allowsGang(job, waiting)) waiting else 0
     }
@@ -85,7 +94,7 @@
     private fun weight(guarantee: Resources) = if (guarantee.gpus > 0) guarantee.gpus else guarantee.cpus
 
     private companion object {
-        /** About 150 kB to send. */
-        const val MAX_ROOMS = 2_048
+        /** The machines of a summary at most, which take about 150 kB to send. */
+        const val MAX_MACHINES = 2_048
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/PendingReasonReport.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/PendingReasonReport.kt
@@ -9,10 +9,10 @@
 import org.honeyjunction.core.model.Task
 import org.honeyjunction.core.model.mayUse
 
-/** Why a task is pending, in sentences for its user and for operators. */
+/** Describes why a task is pending, for its user and for operators. */
 internal class PendingReasonReport(private val state: ClusterState, private val failures: FailureAttribution) {
-    /** Every reason that there is, the nearest first. */
-    fun of(task: Task, now: Long): List<String> {
+    /** All reasons why [task] is pending, the most immediate first. */
+    fun reasons(task: Task, now: Long): List<String> {
         val reasons = ArrayList<String>()
         addJobReasons(task.job, now, reasons)
         addMachineReasons(task, reasons)
@@ -68,7 +68,7 @@
             .groupingBy { it }
             .eachCount()
 
-    /** Why a task waits although the machines [free] have room for it. */
+    /** Why a task of [job] is pending although the machines [free] have room for it. */
     private fun freeRoomReason(job: Job, free: List<Machine>): String {
         val gang = job.spec.kind == JobKind.GANG
         val fitting = free.sumOf { job.spec.need.countIn(state.room(it)) }
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Machines are only rented for [job] if a new one would certainly meet its hard rules; null: one may. */
+    /** Why no machine is rented for [job]: a new one would not certainly meet its hard rules. Null if one may be rented. */
     private fun noScaleOutReason(job: Job): String? {
         if (job.shape < 0 || mayScaleOut(job)) return null
         val rules =
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/TaskDispatcher.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/TaskDispatcher.kt
@@ -15,18 +15,19 @@
 import org.honeyjunction.core.placement.Proposal
 
 /**
- * Takes proposed starts through their steps: checked and reserved, recorded in the [PlacementJournal], sent, answered. Sends
- * stops too. A machine has one unanswered message at most.
+ * Carries proposed starts through their steps: check and reservation, record in the [PlacementJournal], message to the worker,
+ * answer. Also sends stops. Each machine has at most one unanswered message.
  */
 class TaskDispatcher(private val state: ClusterState, private val journal: PlacementJournal, private val explainer: Explainer? = null) {
+    /** A message to [machine]; [starts] are the placements that it asks the worker to start. */
     private class Message(val machine: Machine, val starts: List<Placement>)
 
-    /** Messages without an answer, by their id. */
-    private val unanswered = HashMap<Long, Message>()
+    /** Unanswered messages by message identifier. */
+    private val unansweredMessages = HashMap<Long, Message>()
 
     /**
-     * Checks each proposal against all rules as things stand now, and reserves its room; a gang is taken whole or not at
-     * all. Returns for each whether it was accepted.
+     * Checks each proposal against all rules in the current state and reserves its capacity; a gang is accepted as a whole or
+     * not at all. Returns for each proposal whether it was accepted.
      */
     fun accept(proposals: List<Proposal>, now: Long): List<Boolean> {
         val accepted = BooleanArray(proposals.size)
@@ -40,15 +41,15 @@
         return accepted.asList()
     }
 
-    /** [members]: the indices of the job's proposals. */
+    /** Reserves the proposals of [job], which are those of [proposals] with the indices [members]; sets their [accepted]. */
     private fun acceptOfJob(job: Job, members: List<Int>, proposals: List<Proposal>, accepted: BooleanArray, now: Long) {
         val gang = job.spec.kind == JobKind.GANG
-        // One attempt for all that starts together: it tells one start of a task from another, and the record is shorter.
+        // The attempt number tells the starts of one task apart. Tasks that start together share it, for a shorter record.
         val attempt = state.nextSequence()
         val placed = ArrayList<Placement>()
         val withCachedImage = HashSet<Placement>()
         for (i in members) {
-            // A reservation adds the image to the machine's, so this is asked before it.
+            // Read before the reservation, which adds the image to the machine's cached images.
             val imageCached = explainer != null && job.image in state.machineAt(proposals[i].machine)?.images.orEmpty()
             val placement = reserve(job, proposals[i], attempt, now)
             if (placement != null) {
@@ -60,12 +61,12 @@
             }
         }
         if (gang && placed.size < members.size) {
-            // One refusal stops the rest: nothing was sent yet, so the room is simply given back.
+            // One refusal stops the whole gang. Nothing was recorded or sent yet, so removing the reservations is enough.
             placed.forEach { state.remove(it, now) }
             members.forEach { accepted[it] = false }
         } else {
             placed.forEach(journal::add)
-            placed.forEach { explainer?.note(it, it in withCachedImage, now) }
+            placed.forEach { explainer?.recordDecision(it, it in withCachedImage, now) }
         }
     }
 
@@ -96,7 +97,7 @@
         return heldFor !== job && job.spec.priority <= heldFor.spec.priority
     }
 
-    /** Sends what became due on the machines that something happened to. */
+    /** Sends the due commands of the machines for which commands may have become due since the last flush. */
     fun flushTouched(now: Long) {
         if (state.machinesToSendTo.isEmpty()) return
         val due = state.machinesToSendTo.toList()
@@ -104,21 +105,21 @@
         flush(due, now)
     }
 
-    /** Gives stale reservations back and sends what is recorded or to be stopped. */
+    /** Drops stale reservations on [machines], and sends recorded starts and requested stops. */
     fun flush(machines: Collection<Machine>, now: Long) {
         for (machine in machines) dropStaleReservations(machine, now)
         sendDue(machines, now)
     }
 
-    /** Sends what is due without deciding anything: past the leader lease, that is stops alone. */
+    /** Sends due commands without making any decision; past the leader lease these are stops only. */
     fun sendDue(machines: Collection<Machine>, now: Long) {
-        // Unanswered messages are bounded: after a mass failure those with the most urgent starts go first.
-        val allMayBeSent = unanswered.size + machines.size <= state.cluster.maxSends
+        // The number of unanswered messages is bounded: after a mass failure the most urgent ones are sent first.
+        val allMayBeSent = unansweredMessages.size + machines.size <= state.cluster.maxSends
         val ordered = if (allMayBeSent) machines else machines.sortedByDescending { urgency(it) }
         for (machine in ordered) send(machine, now)
     }
 
-    /** What was cancelled has to be gone in time; then starts by their priority. */
+    /** Stops of cancelled jobs come first, since these must end within a time limit; then starts by priority. */
     private fun urgency(machine: Machine): Int =
         machine.placements.values.maxOfOrNull {
             when {
@@ -128,19 +129,19 @@
             }
         } ?: 0
 
-    /** A reservation that could not be recorded or sent in time, or is no longer wanted, gives its room back. */
+    /** Drops reservations that could not be recorded or sent in time or are no longer wanted, and so frees their capacity. */
     private fun dropStaleReservations(machine: Machine, now: Long) {
         if (machine.placements.values.none { it.phase <= Phase.RECORDED }) return
         for (placement in machine.placements.values.toList()) {
             if (placement.phase > Phase.RECORDED || placement.gone) continue
-            // Counted anew from the record on: a start whose record took long to write must not be dropped for that, only to
-            // be written again.
+            // The time starts anew when the start is recorded. Otherwise a start whose record took long to write would be
+            // dropped, only to be recorded again.
             val late = now - placement.since > RESERVATION_MS
             if (late || placement.stopping || !placement.task.job.startable || !machine.usable) drop(placement, now)
         }
     }
 
-    /** Of a gang, all tasks: what was sent already is stopped. */
+    /** Drops a reservation; for a gang, those of all its tasks, and stops the tasks that were already sent. */
     private fun drop(placement: Placement, now: Long) {
         val job = placement.task.job
         val concerned = if (job.spec.kind == JobKind.GANG) job.placements.toList() else listOf(placement)
@@ -150,9 +151,10 @@
     private fun send(machine: Machine, now: Long) {
         val address = machine.address ?: return
         if (machine.commandBusy || now < machine.nextCommandAt || machine.phase == MachinePhase.GONE) return
-        // A new leader shows its fencing token itself: from then on nobody else's answers renew leases there.
+        // A new leader sends its fencing token without waiting for a heartbeat: once the worker has acknowledged it, answers
+        // of other leaders no longer renew the worker's lease.
         val unfenced = !machine.lease.fenced && (machine.lease.session > 0 || machine.phase == MachinePhase.UNCONFIRMED)
-        if (machine.placements.isEmpty() && !unfenced || unanswered.size >= state.cluster.maxSends) return
+        if (machine.placements.isEmpty() && !unfenced || unansweredMessages.size >= state.cluster.maxSends) return
         val starts = ArrayList<Placement>()
         val commands = dueCommands(machine, now, starts)
         if (commands.isEmpty() && !unfenced) return
@@ -160,15 +162,15 @@
         machine.commandBusy = true
         for (placement in starts) {
             placement.enter(Phase.SENT, now)
-            // Until an answer or an acknowledged higher token, the start may still be executed.
+            // The start may be executed until the worker answers it or acknowledges a higher fencing token.
             placement.voidFromToken = machine.token + 1
         }
-        unanswered[id] = Message(machine, starts)
+        unansweredMessages[id] = Message(machine, starts)
         val session = maxOf(machine.lease.session, FIRST_SESSION)
         state.effects += Effect.Send(id, machine.name, address, machine.token, session, commands)
     }
 
-    /** What [machine] has to be sent now; the placements that it is to start are added to [starts]. */
+    /** The commands that are due for [machine]; placements to be started are also added to [starts]. */
     private fun dueCommands(machine: Machine, now: Long, starts: MutableList<Placement>): List<Command> {
         val commands = ArrayList<Command>()
         for (placement in machine.placements.values) {
@@ -176,7 +178,7 @@
             if (placement.phase == Phase.RECORDED && now < state.leaseValidUntil && machine.usable && isReady(placement)) {
                 starts += placement
                 commands += Command.Start(placement.task.id, placement.attempt)
-            } else if (placement.stopping && placement.phase > Phase.RECORDED && now - placement.stopSentAt >= STOP_AGAIN_MS) {
+            } else if (placement.stopping && placement.phase > Phase.RECORDED && now - placement.stopSentAt >= STOP_RETRY_MS) {
                 val writesCheckpoint = placement.phase == Phase.SAVING && placement.stopGraceS > 0
                 if (writesCheckpoint) continue
                 placement.stopSentAt = now
@@ -193,51 +195,51 @@
         return job.spec.kind != JobKind.GANG || job.placements.all { it.phase >= Phase.RECORDED }
     }
 
-    /** The message [id] was carried out; [absorb] takes in the heartbeat that came as its answer. */
-    fun executed(id: Long, report: Heartbeat, absorb: (Heartbeat) -> Unit) {
-        val message = take(id) ?: return
+    /** The worker executed the message [id]; [processReport] handles the heartbeat in its answer. */
+    fun executed(id: Long, report: Heartbeat, processReport: (Heartbeat) -> Unit) {
+        val message = takeMessage(id) ?: return
         message.machine.commandFailures = 0
         message.starts.forEach { it.voidFromToken = 0 }
-        absorb(report)
+        processReport(report)
     }
 
-    /** Fencing token or agent incarnation did not match: nothing of the message was or will be executed. */
-    fun rejected(id: Long, report: Heartbeat, now: Long, absorb: (Heartbeat) -> Unit) {
-        val message = take(id) ?: return
+    /** The fencing token or the agent's session did not match: no command of the message was or will be executed. */
+    fun rejected(id: Long, report: Heartbeat, now: Long, processReport: (Heartbeat) -> Unit) {
+        val message = takeMessage(id) ?: return
         message.starts.forEach { if (it.phase == Phase.SENT) state.remove(it, now) }
         message.machine.nextCommandAt = now + RETRY_MS
-        absorb(report)
+        processReport(report)
     }
 
-    /** No answer: the message may be executed minutes late, so it is voided by raising the machine's fencing token. */
+    /** No answer came. The message may still be executed minutes later, so raising the machine's fencing token voids it. */
     fun unanswered(id: Long, now: Long) {
-        val message = take(id) ?: return
+        val message = takeMessage(id) ?: return
         val machine = message.machine
         machine.commandFailures++
         machine.nextCommandAt = now + RETRY_MS * minOf(machine.commandFailures, MAX_RETRY_FACTOR)
         if (message.starts.isNotEmpty()) machine.token++
     }
 
-    private fun take(id: Long): Message? {
-        val message = unanswered.remove(id) ?: return null
+    private fun takeMessage(id: Long): Message? {
+        val message = unansweredMessages.remove(id) ?: return null
         message.machine.commandBusy = false
         state.machinesToSendTo += message.machine
         return message
     }
 
     private companion object {
-        /** A reservation, and then its record, lasts for so long before the next step. */
+        /** A reservation must be recorded within this time, and then sent within this time. */
         const val RESERVATION_MS = 6_000L
-        const val STOP_AGAIN_MS = 1_500L
+        const val STOP_RETRY_MS = 1_500L
 
         /** After the n-th failure in a row the next message waits n times as long, up to [MAX_RETRY_FACTOR]. */
         const val RETRY_MS = 500L
         const val MAX_RETRY_FACTOR = 8
 
-        /** Of an agent whose incarnation is not known yet; a rejection tells the right one. */
+        /** The session assumed for an agent that has not reported yet; a rejection contains the actual one. */
         const val FIRST_SESSION = 1L
 
-        /** Some 70 bytes each, of the 64 KiB that a message may have. */
+        /** Commands of one message: about 70 bytes each, of the 64 KiB that a message may have. */
         const val MAX_COMMANDS = 400
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/TaskRows.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/TaskRows.kt
@@ -10,9 +10,9 @@
 import org.honeyjunction.core.placement.FirstFitEstimate
 import org.honeyjunction.core.placement.TaskRow
 
-/** Makes the rows of the placement matrix out of jobs and tasks. */
+/** Builds the rows of the placement matrix from jobs and tasks. */
 class TaskRows(private val state: ClusterState) {
-    /** A row with what all tasks of [job] have in common, whatever runs at this moment. */
+    /** A row with the values that all tasks of [job] share, independent of the tasks that run now. */
     fun template(job: Job): TaskRow =
         TaskRow(
             job = job.index,
@@ -32,7 +32,7 @@
             shape = job.shape,
         )
 
-    /** The row of [job]'s first waiting task as things stand now. */
+    /** The row of [job]'s first waiting task, given where the job's other tasks are now. */
     fun firstWaiting(job: Job, now: Long): TaskRow {
         val task = job.tasks[job.waiting.nextSetBit(0)]
         val severalTasks = job.spec.tasks > 1
@@ -49,7 +49,7 @@
         )
     }
 
-    /** The row that [task], which may be on a machine, would be if it had to be placed elsewhere. */
+    /** The row for placing [task], which may be on a machine, on another machine. */
     fun relocation(task: Task, now: Long): TaskRow =
         template(task.job).copy(
             task = task.number,
@@ -60,9 +60,10 @@
         )
 
     /**
-     * The rows of [demands], task by task, [limit] at most: those that there is room for, then others in their order, which
-     * may make better use of it. Cut by their order alone, the first rows may be such that no machine takes, and nothing
-     * else would ever be considered. A gang that would be cut is left out, but not for being larger than the limit.
+     * At most [limit] rows of [demands], one for each task: first the rows that fit into the free capacity, then the other
+     * rows in queue order, which may use it better. Taking the first rows in queue order alone would starve the others if no
+     * machine can take the first ones. A gang that would be cut is left out, unless at most half of the rows are taken: a gang
+     * larger than the limit is still considered.
      */
     fun select(demands: List<Wanted>, fitting: FirstFitEstimate, now: Long, limit: Int): List<TaskRow> {
         val rows = ArrayList<TaskRow>()
@@ -81,7 +82,7 @@
         return rows
     }
 
-    /** Appends [count] rows for the job's waiting tasks after the first [skip]. */
+    /** Appends rows for [count] waiting tasks of the job, without its first [skip] ones. */
     private fun append(rows: MutableList<TaskRow>, demand: Wanted, skip: Int, count: Int, now: Long) {
         if (count <= 0) return
         val job = state.jobAt(demand.sample.job) ?: return
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/TaskStops.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/TaskStops.kt
@@ -5,7 +5,7 @@
 import org.honeyjunction.core.model.Placement
 import org.honeyjunction.core.model.Task
 
-/** Requests a stop, which [TaskDispatcher] sends; a shorter grace period than before replaces the earlier one. */
+/** Requests a stop, which [TaskDispatcher] sends. A repeated request only has an effect if its grace period is shorter. */
 fun Placement.requestStop(graceS: Double) {
     if (stopping && graceS >= stopGraceS) return
     stopping = true
@@ -13,7 +13,7 @@
     stopSentAt = 0L
 }
 
-/** Graceful eviction: stops the task with time for a checkpoint; of a gang, all tasks, since the others could not go on. */
+/** Evicts the task with time to save a checkpoint. Evicts all tasks of a gang, since the others could not continue. */
 fun Task.evict() {
     val graceS = job.spec.saveS + 1
     val concerned = if (job.spec.kind == JobKind.GANG) job.placements.toList() else placements.toList()
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/TeamQuota.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/TeamQuota.kt
@@ -6,18 +6,18 @@
 import org.honeyjunction.core.model.Resources
 
 /**
- * One team's limit while its pending jobs are taken in their order: what the team uses, with what was admitted so far, and
- * what is reserved for a gang. Made anew for each pass over the queue.
+ * Applies one team's limit to its pending jobs in queue order. Counts the resources that the team uses, those of the tasks
+ * admitted so far, and those reserved for a gang. Each pass over the queue uses a new instance.
  */
 internal class TeamQuota(private val state: ClusterState, private val teamIndex: Int, private val now: Long) {
     private val team = state.cluster.teams[teamIndex]
     private var admitted = state.usage(teamIndex)
 
-    /** What is reserved of the limit for a gang, which is expected to start in [reservedForS] seconds. */
+    /** The part of the limit that is reserved for a gang, which is expected to start in [reservedForS] seconds. */
     private var reserved = Resources.NONE
     private var reservedForS = 0.0
 
-    /** When each of the team's tasks that end by themselves is expected to end, and what it frees. Only gangs need it. */
+    /** When each of the team's tasks, except those of services, is expected to end, and what it releases. Only gangs need it. */
     private val expectedEnds by lazy(LazyThreadSafetyMode.NONE) {
         state.active.values
             .filter { it.team == teamIndex && it.spec.kind != JobKind.SERVICE }
@@ -26,7 +26,7 @@
             .sortedBy { it.first }
     }
 
-    /** How many of [pending] tasks of [job], which is no gang, the limit allows. */
+    /** How many of the [pending] tasks of [job], which is not a gang, the limit allows. */
     fun allowedTasks(job: Job, pending: Int): Int {
         val use = useBeside(job)
         if (team.allows(use + job.spec.need * pending)) return pending
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Whether the limit allows all [pending] tasks of [gang] at once. If not, what it needs of the limit is reserved, unless
-     * a gang before it has that already: otherwise the next task of an array would take each part that gets free, for ever.
+     * Whether the limit allows all [pending] tasks of [gang] at once. If not, the gang's need is reserved, unless an earlier
+     * gang of the queue has a reservation. Without it, single tasks of arrays would take each released part and starve the gang.
      */
     fun allowsGang(gang: Job, pending: Int): Boolean {
         if (team.allows(useBeside(gang) + gang.spec.need * pending)) return true
@@ -43,30 +43,30 @@
         return false
     }
 
-    /** [count] tasks of [job] are to start: those after it in the queue find that much less. */
+    /** Charges [count] tasks of [job], which are to start: less remains for the jobs behind it in the queue. */
     fun admit(job: Job, count: Int) {
         admitted += job.spec.need * count
     }
 
-    /** Backfilling: a job that is expected to end before the reserved part is needed may use it meanwhile. */
+    /** Backfilling: a job that is expected to end before the gang starts may use the reserved part until then. */
     private fun useBeside(job: Job): Resources {
         val runS = job.expectedRunS
-        val endsBefore = runS != null && runS * ESTIMATE_FACTOR <= reservedForS
+        val endsBefore = runS != null && runS * ESTIMATE_SAFETY_FACTOR <= reservedForS
         return if (endsBefore) admitted else admitted + reserved
     }
 
     /**
-     * Reserves what [gang] needs if, by the owners' estimates, the team's work is expected to free it before long; or if the
-     * gang has waited for long enough. What can't start for minutes must not keep other jobs from the limit all the time.
+     * Reserves what [gang] needs if, by the owners' estimates, the team's tasks release it within [RESERVE_WITHIN_S], or if the
+     * gang has waited for [RESERVE_AFTER_MS]. A gang that can't start for minutes must not block other jobs all that time.
      */
     private fun reserveFor(gang: Job) {
         val startsInS = expectedStartS(gang) ?: return
         if (startsInS > RESERVE_WITHIN_S && now - gang.createdAt < RESERVE_AFTER_MS) return
         reserved = gang.spec.need * gang.unfinished
-        reservedForS = maxOf(startsInS, LEAST_RESERVED_S)
+        reservedForS = maxOf(startsInS, MIN_RESERVED_S)
     }
 
-    /** In how many seconds the limit is expected to allow [gang]; null: never, because of services, which do not end. */
+    /** In how many seconds the limit is expected to allow [gang]; null if never, because services use too much of it. */
     private fun expectedStartS(gang: Job): Double? {
         val need = gang.spec.need * gang.unfinished
         var use = admitted
@@ -78,7 +78,7 @@
         return null
     }
 
-    /** The largest count up to [limit] that [fits], which holds for all smaller ones too. */
+    /** The largest count up to [limit] that [fits], by binary search; if a count fits, all smaller ones must fit too. */
     private inline fun largestCount(limit: Int, fits: (Int) -> Boolean): Int {
         var low = 0
         var high = limit
@@ -90,24 +90,23 @@
     }
 
     private companion object {
-        /** A reservation is made if it can be used within [RESERVE_WITHIN_S], or when the gang has waited for [RESERVE_AFTER_MS]. */
         const val RESERVE_WITHIN_S = 60.0
         const val RESERVE_AFTER_MS = 120_000L
 
-        /** Above 0, which stands for no reservation. */
-        const val LEAST_RESERVED_S = 0.001
+        /** Greater than 0, since 0 means that nothing is reserved. */
+        const val MIN_RESERVED_S = 0.001
 
-        /** Estimates are often wrong by half. */
-        const val ESTIMATE_FACTOR = 2
+        /** Estimates are often wrong by half, so backfilled jobs are assumed to run for twice as long. */
+        const val ESTIMATE_SAFETY_FACTOR = 2
     }
 }
 
-/** Marks the jobs that lie within their team's guarantee: those that fit into it with the team's earlier unfinished jobs. */
+/** Marks the jobs within their team's guarantee: those that fit into it together with the team's earlier active jobs. */
 internal class GuaranteeMarker(private val state: ClusterState) {
     private var markedAt = Long.MIN_VALUE
     private var markedJobs = -1
 
-    /** Sets [Job.guaranteed] of all active jobs, unless that was done a moment ago for as many jobs. */
+    /** Sets [Job.guaranteed] of all active jobs, unless this was done within [REFRESH_MS] for the same number of jobs. */
     fun refresh(now: Long) {
         if (now - markedAt < REFRESH_MS && markedJobs == state.active.size) return
         markedAt = now
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/WorkConservationMonitor.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/WorkConservationMonitor.kt
@@ -8,46 +8,55 @@
 import org.honeyjunction.core.placement.FreeCapacity
 import org.honeyjunction.core.placement.TaskRow
 
-/** What keeps a pending task from a machine that has room for it; [text] is for operators. */
+/** Why a task is pending although a machine has room for it; [text] is for operators. */
 enum class PendingReason(val text: String) {
-    /** Nothing does: rounds ought to place it. */
+    /** No known reason: placement rounds should place the task. */
     NONE("nothing stands in the way"),
+
+    /** The machine is reserved for a job that needs whole machines. */
     HOLD("the room is kept for a job that needs whole machines"),
+
+    /** The machine only accepts tasks of a higher priority, for which its capacity was freed. */
     FLOOR("the room was made for work of a higher priority"),
+
+    /** The team's limit does not allow the task. */
     LIMIT("its team is at its limit"),
 }
 
-/** A job whose tasks could have started for a while: so many [tasks], since [sinceMs] (steady time). */
+/** A job with [tasks] that are pending although machines have had room for them since [sinceMs] (steady time). */
 data class StalledJob(val job: String, val tasks: Int, val reason: PendingReason, val sinceMs: Long)
 
 /**
- * Watches work conservation: that no task is pending for long beside free room that it may use. It asks the question anew
- * by counting what fits, without the round's candidate pruning and costs, so that an error there shows here.
+ * Monitors work conservation: no task may be pending for long while a machine that it may use has room. The monitor counts
+ * the tasks that fit by itself, without the candidate pruning and the costs of placement rounds, so that it detects errors there.
  */
 class WorkConservationMonitor(private val state: ClusterState, private val queue: PendingQueue) {
-    /** A job that was pending beside room at every check since [since], for the same [reason]. */
+    /** A job whose tasks were pending despite free capacity at every check since [since], for the same [reason]. */
     private class Observation(val since: Long, val reason: PendingReason) {
         var logged = false
+
+        /** The number of such tasks at the latest check. */
         var tasks = 0
     }
 
-    /** What one check found of a job. */
+    /** The result of one check of a job: the number of its [tasks] that are pending despite free capacity, and the [reason]. */
     private class Finding(val tasks: Int, val reason: PendingReason)
 
-    private class FreeSince(val room: Resources, val since: Long)
+    /** The capacity [free] of a machine, unchanged since [since]. */
+    private class FreeSince(val free: Resources, val since: Long)
 
-    /** By job index. */
+    /** Observations by job index. */
     private val observations = HashMap<Int, Observation>()
 
-    /** By machine index. */
+    /** The free capacity of machines at the latest check, by machine index. */
     private var freeSince = emptyMap<Int, FreeSince>()
     private var nextCheckAt = Long.MIN_VALUE
 
-    /** Jobs that are pending beside room for longer than a few rounds and a fetch that they may wait for would take. */
+    /** Jobs whose tasks have been pending despite free capacity for longer than [toleratedMs]. */
     fun stalled(now: Long): List<StalledJob> =
         observations.mapNotNull { (index, observation) -> state.jobAt(index)?.let { stalled(it, observation, now) } }
 
-    /** The same for one job; null: it does not stall. */
+    /** Whether and why [job] is stalled; null if it is not. */
     fun of(job: Job, now: Long): StalledJob? = observations[job.index]?.let { stalled(job, it, now) }
 
     private fun stalled(job: Job, observation: Observation, now: Long): StalledJob? {
@@ -55,14 +64,15 @@
         return StalledJob(job.spec.id, observation.tasks, observation.reason, observation.since)
     }
 
+    /** Checks all pending tasks against the free capacity, once in [PERIOD_MS], and logs jobs that have become stalled. */
     fun step(now: Long) {
-        // Past its lease a leader starts nothing, whatever has room.
+        // A leader whose lease has expired starts no tasks, however much capacity is free.
         if (now >= state.leaseValidUntil) return observations.clear()
         if (now < nextCheckAt) return
         nextCheckAt = now + PERIOD_MS
         val free = unchanged(queue.capacity.allFree(now), now)
         if (free.isEmpty()) return observations.clear()
-        val found = findPendingBesideRoom(free, now)
+        val found = findPendingDespiteRoom(free, now)
         observations.entries.removeIf { (index, observation) -> found[index]?.reason != observation.reason }
         for ((index, finding) in found) {
             observations.getOrPut(index) { Observation(now, finding.reason) }.tasks = finding.tasks
@@ -70,51 +80,51 @@
         logStalled(now)
     }
 
-    /** By job index, what is pending although [free] has room for it. */
-    private fun findPendingBesideRoom(free: List<FreeCapacity>, now: Long): Map<Int, Finding> {
+    /** The jobs, by index, with tasks that are pending although [free] has room for them. */
+    private fun findPendingDespiteRoom(free: List<FreeCapacity>, now: Long): Map<Int, Finding> {
         val demands = queue.demands(now)
         val found = HashMap<Int, Finding>()
-        val asHeld = FirstFitEstimate(free, state.book.table, skipFetching = true)
-        // As if nothing were held or kept for a priority: what fits only then is reported, though it is meant to wait.
-        val asIfOpen = FirstFitEstimate(free.map { it.unreserved() }, state.book.table, skipFetching = true)
+        val withReservations = FirstFitEstimate(free, state.book.table, skipFetching = true)
+        // Ignores reservations and priority floors: tasks that only fit without these are reported with that reason.
+        val withoutReservations = FirstFitEstimate(free.map { it.unreserved() }, state.book.table, skipFetching = true)
         for (demand in demands) {
-            val fits = asHeld.take(demand.sample, demand.count)
+            val fits = withReservations.take(demand.sample, demand.count)
             val job = state.jobAt(demand.sample.job) ?: continue
             if (fits > 0) {
                 found[job.index] = Finding(fits, PendingReason.NONE)
                 continue
             }
-            val fitsIfOpen = asIfOpen.take(demand.sample, demand.count)
-            if (fitsIfOpen > 0) found[job.index] = Finding(fitsIfOpen, holdOrFloor(demand.sample, free))
+            val fitsUnreserved = withoutReservations.take(demand.sample, demand.count)
+            if (fitsUnreserved > 0) found[job.index] = Finding(fitsUnreserved, holdOrFloor(demand.sample, free))
         }
         for (demand in queue.beyondLimits(demands, now)) {
-            val fits = asIfOpen.take(demand.sample, demand.count)
+            val fits = withoutReservations.take(demand.sample, demand.count)
             if (fits > 0) found[demand.sample.job] = Finding(fits, PendingReason.LIMIT)
         }
         return found
     }
 
-    /** Rooms that nothing was taken from or given back to for a few rounds: what just got free may not have been seen yet. */
-    private fun unchanged(rooms: List<FreeCapacity>, now: Long): List<FreeCapacity> {
+    /** Those of [capacities] that have not changed for [ROUNDS] rounds: rounds may not have seen newly released capacity yet. */
+    private fun unchanged(capacities: List<FreeCapacity>, now: Long): List<FreeCapacity> {
         val current =
-            rooms.associate { room ->
-                val before = freeSince[room.machine]?.takeIf { it.room == room.free }
-                room.machine to (before ?: FreeSince(room.free, now))
+            capacities.associate { capacity ->
+                val before = freeSince[capacity.machine]?.takeIf { it.free == capacity.free }
+                capacity.machine to (before ?: FreeSince(capacity.free, now))
             }
         freeSince = current
-        return rooms.filter { now - current.getValue(it.machine).since >= state.tuning.roundMs * ROUNDS }
+        return capacities.filter { now - current.getValue(it.machine).since >= state.tuning.roundMs * ROUNDS }
     }
 
-    private fun holdOrFloor(sample: TaskRow, rooms: List<FreeCapacity>): PendingReason {
+    private fun holdOrFloor(sample: TaskRow, capacities: List<FreeCapacity>): PendingReason {
         val held =
-            rooms.any {
+            capacities.any {
                 val heldForOther = it.heldFor >= 0 && it.heldFor != sample.job && sample.priority <= it.heldPriority
                 heldForOther && sample.allows(it.type, it.zone, it.spot, it.floor, it.free)
             }
         return if (held) PendingReason.HOLD else PendingReason.FLOOR
     }
 
-    /** Each job once, for as long as it stalls for the same reason. */
+    /** Logs each stalled job once, until its reason changes or it is no longer stalled. */
     private fun logStalled(now: Long) {
         for (stalled in stalled(now)) {
             val observation = observations.getValue(state.job(stalled.job)!!.index)
@@ -126,14 +136,14 @@
         }
     }
 
-    /** A few rounds; and a row may wait for a busy slot for as long as a fetch of its own would take. */
+    /** [ROUNDS] rounds and a fetch of the job's image: a task may wait as long for a machine that already has the image. */
     private fun toleratedMs(job: Job): Long {
         val slowestGbPerS = state.cluster.types.values.minOfOrNull { it.fetchGbPerS } ?: return Long.MAX_VALUE
         val fetchMs = (job.spec.imageGb / slowestGbPerS * 1000).toLong()
         return state.tuning.roundMs * ROUNDS + fetchMs
     }
 
-    /** How many tasks are pending beside room, by what keeps them. */
+    /** A line of statistics: the number of tasks of stalled jobs by reason. */
     fun statistics(now: Long): String =
         "pending beside free capacity " + stalled(now).groupBy { it.reason }.mapValues { (_, all) -> all.sumOf { it.tasks } }
 
--- a/src/main/kotlin/org/honeyjunction/core/control/journal/CheckpointWriter.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/journal/CheckpointWriter.kt
@@ -17,11 +17,11 @@
 import org.honeyjunction.core.model.NameTable
 
 /**
- * Writes checkpoints for a later leader, as far as the budget of writes lets it: where the machines are and what they cache,
- * page by page; and what was learned of failures, boot times and fairness. Nothing relies on them: what is missing or old
- * shows in the cloud's list and the workers' heartbeats. One write is on its way at a time.
+ * Writes checkpoints for a later leader, within the write budget: addresses and cached images of machines, page by page, and
+ * one checkpoint of failures, boot times and fairness. Correctness does not depend on them: the cloud's list of machines and
+ * the workers' heartbeats supply what is missing or outdated. At most one write is on its way at a time.
  *
- * [wallOffset]: what steady times are added to for wall clock times, in milliseconds.
+ * [wallOffset] is added to a steady time to get wall clock time, in milliseconds.
  */
 class CheckpointWriter(
     private val state: ClusterState,
@@ -30,7 +30,7 @@
     private val fairness: FairnessMonitor,
     private val wallOffset: Long,
 ) {
-    /** What the latest leader checkpoint that was applied had. */
+    /** The content of the latest leader checkpoint that was applied. */
     private var writtenAttribution = attribution.version
     private var writtenBootTimes = emptyList<BootTimeCheckpoint>()
     private var writtenFairness = emptyMap<FairnessGroup, ServedCount>()
@@ -45,20 +45,21 @@
     private val writtenMachinePages = HashMap<Int, List<MachineCheckpoint>>()
     private var busy = false
 
+    /** Writes the next checkpoint, if one is due and no other write is on its way. */
     fun step(now: Long) {
         if (busy || now >= state.leaseValidUntil) return
         if (now >= nextLeaderCheckAt) {
-            // Checked now and then only: quantiles are not free.
+            // Checked at intervals only, since the quantiles of the boot times are expensive to compute.
             nextLeaderCheckAt = now + LEADER_CHECK_MS
             if (leaderCheckpointDue(now)) return writeLeaderCheckpoint(now)
         }
         if (now >= nextMachinePageAt) writeNextMachinePage(now)
     }
 
-    /** Failures are written as they change, the rest, which changes little by little, at longer intervals. */
+    /** Changed failures are written at the next check; boot times and fairness, which change gradually, at longer intervals. */
     private fun leaderCheckpointDue(now: Long): Boolean {
         if (attribution.version != writtenAttribution) return true
-        if (now - leaderSentAt <= LEARNED_MS) return false
+        if (now - leaderSentAt <= GRADUAL_CHANGES_MS) return false
         return bootTimeCheckpoints() != writtenBootTimes || fairness.checkpoint() != writtenFairness
     }
 
@@ -80,10 +81,10 @@
         }
     }
 
-    /** Goes round the pages; one that is as it was written before is not written again. */
+    /** Writes the pages in turn, and skips a page that has not changed since its last write. */
     private fun writeNextMachinePage(now: Long) {
-        nextMachinePageAt = now + state.cluster.pageGapMs * GAPS
-        val known = state.machines.filter { it.phase in KNOWN && it.address != null && it.type != NameTable.ABSENT }
+        nextMachinePageAt = now + state.cluster.pageGapMs * JOURNAL_PAGES_PER_MACHINE_PAGE
+        val known = state.machines.filter { it.phase in CHECKPOINTED_PHASES && it.address != null && it.type != NameTable.ABSENT }
         val perPage = maxOf(1, state.cluster.pageBytes / MACHINE_BYTES)
         machinePages = maxOf(machinePages, (known.size + perPage - 1) / perPage)
         if (machinePages == 0) return
@@ -98,8 +99,8 @@
     }
 
     private fun checkpoint(machine: Machine, now: Long): MachineCheckpoint {
-        // Short pauses between tasks are not worth a write.
-        val idleLong = machine.idleSince != Long.MIN_VALUE && now - machine.idleSince > state.tuning.idleMs / IDLE_PART
+        // Short idle times between tasks do not justify a write.
+        val idleLong = machine.idleSince != Long.MIN_VALUE && now - machine.idleSince > state.tuning.idleMs / IDLE_DIVISOR
         return MachineCheckpoint(
             machine.name,
             machine.address,
@@ -113,19 +114,21 @@
     }
 
     private companion object {
-        /** A page of machines for so many pages of the journal at most. */
-        const val GAPS = 8
+        /** The journal may write this many pages in the time between two pages of machines. */
+        const val JOURNAL_PAGES_PER_MACHINE_PAGE = 8
         const val LEADER_CHECK_MS = 4_000L
-        const val LEARNED_MS = 30_000L
 
-        /** Those that do not report too: a later leader must know of them. */
-        val KNOWN = setOf(MachinePhase.UNCONFIRMED, MachinePhase.UP, MachinePhase.SUSPECTED, MachinePhase.UNREACHABLE)
+        /** The interval at which changed boot times and fairness are written. */
+        const val GRADUAL_CHANGES_MS = 30_000L
 
-        /** An upper bound for one machine in a page. */
+        /** Includes machines that do not report, since a later leader must know of them. */
+        val CHECKPOINTED_PHASES = setOf(MachinePhase.UNCONFIRMED, MachinePhase.UP, MachinePhase.SUSPECTED, MachinePhase.UNREACHABLE)
+
+        /** An upper bound of the bytes that one machine takes in a page. */
         const val MACHINE_BYTES = 500
         const val MAX_IMAGES = 6
 
-        /** Idle time is written from this part of the time after which a machine is returned. */
-        const val IDLE_PART = 3
+        /** Idle time is written once it exceeds the idle limit, after which a machine is released, divided by this. */
+        const val IDLE_DIVISOR = 3
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/journal/JournalPages.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/journal/JournalPages.kt
@@ -7,25 +7,27 @@
 import org.honeyjunction.core.results.TaskNumberSet
 import java.util.BitSet
 
-// What a page of the journal holds, and an upper bound of the bytes that it takes.
+// The entries of a page of the journal, and an upper bound of their size in bytes.
 
 /** The results of up to [TaskNumberSet.WINDOW] tasks of [job] from number [first] on. */
 internal class ResultWindow(val job: Job, val first: Int) {
-    /** The numbers of all finished tasks. */
-    val known = BitSet()
+    /** The numbers of all finished tasks of the window. */
+    val finished = BitSet()
 
-    /** Of those, the ones that a page is known to have. */
+    /** Those of the [finished] numbers that are known to be written to a page. */
     val durable = BitSet()
 
-    /** An upper bound of the bytes that it takes, its job's name included. */
+    /** An upper bound of the window's size in a page, in bytes, including the job's identifier. */
     var bytes = 0
         private set
 
-    val unwritten get() = known.cardinality() - durable.cardinality()
+    /** The number of finished tasks that no page is known to have. */
+    val unwritten get() = finished.cardinality() - durable.cardinality()
 
+    /** Adds the finished task with this number. */
     fun add(number: Int) {
-        known.set(number)
-        bytes = TaskNumberSet.length(known, first) + job.spec.id.length + JOB_PUNCTUATION_BYTES
+        finished.set(number)
+        bytes = TaskNumberSet.length(finished, first) + job.spec.id.length + JOB_PUNCTUATION_BYTES
     }
 
     private companion object {
@@ -33,15 +35,15 @@
     }
 }
 
-/** A page as this leader knows it; [version] is the condition of its next write. */
+/** A page as this leader knows it; the next write of the page is conditional on [version]. */
 internal class JournalPage(val number: Int, var version: Long) {
     val starts = LinkedHashSet<Placement>()
     val results = LinkedHashSet<ResultWindow>()
 
-    /** A write of it is on its way. */
+    /** Whether a write of this page is on its way. */
     var busy = false
 
-    /** Drops the entries that are not needed any more, and returns an upper bound of the bytes that the others take. */
+    /** Drops the entries that are no longer needed, and returns an upper bound of the remaining entries' size in bytes. */
     fun compact(): Int {
         starts.removeIf { it.gone }
         results.removeIf { it.job.stage != JobStage.ACTIVE }
@@ -51,12 +53,16 @@
     }
 }
 
-/** An upper bound of the bytes of starts that are recorded together: those of one attempt on one machine share all but their numbers. */
+/**
+ * An upper bound of the size, in bytes, of starts that are recorded together. Starts of one attempt on one machine share all
+ * but their task numbers.
+ */
 internal class StartsSize {
     private val groups = HashSet<Triple<Job, Long, Machine>>()
     var bytes = 0
         private set
 
+    /** Adds the size of [start]. */
     fun add(start: Placement) {
         val job = start.task.job
         val newGroup = groups.add(Triple(job, start.attempt, start.machine))
@@ -65,10 +71,10 @@
     }
 
     private companion object {
-        /** Quotes, commas and the attempt. */
+        /** Quotes, commas and the attempt number. */
         const val GROUP_PUNCTUATION_BYTES = 30
 
-        /** A task's number of six digits and its comma. */
+        /** A task number of six digits and a comma. */
         const val NUMBER_BYTES = 7
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/journal/PlacementJournal.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/journal/PlacementJournal.kt
@@ -12,37 +12,38 @@
 import org.honeyjunction.core.results.TaskNumberSet
 import java.util.BitSet
 
-/** A page of the journal as the state service has it; [done] are the numbers of finished tasks, by job. */
+/** A page of the journal as stored in the state service; [done] has the numbers of finished tasks by job. */
 data class JournalPageRecord(val page: Int, val version: Long, val starts: List<RecordedStart>, val done: Map<String, BitSet>)
 
-/** That task [number] of [job] may have been started on [machine]; [attempt] tells its starts apart. */
+/** Task [number] of [job] may have been started on [machine]; [attempt] distinguishes the starts of one task. */
 data class RecordedStart(val job: String, val number: Int, val attempt: Long, val machine: String)
 
 /**
- * What must be durable of starts and results, packed into a few pages, since each write to the state service counts.
+ * Makes starts and results of tasks durable. Entries are packed into a few pages, since the rate of writes to the state
+ * service is limited.
  *
- * Every start that may have been sent, and every result that a worker may have been told to forget, is in a page. Entries
- * that are no longer needed are dropped whenever their page is written again. A page's write is a compare-and-swap on its
- * last known version, so a write that is applied late cannot bring back an older page.
+ * Every start that may have been sent to a worker, and every result that a worker may have been told to forget, is in a page.
+ * Entries that are no longer needed are dropped when their page is written again. Each write of a page is a compare-and-swap
+ * on the page's last known version, so a write that is applied late can't restore an older page.
  *
- * An array may have tens of thousands of tasks that take seconds. Its results are recorded as sets of numbers, window by
- * window, and its starts by machine and attempt, so that what a task adds is a few bytes; see [TaskNumberSet].
+ * An array may have tens of thousands of tasks that take seconds each. Its results are recorded as sets of task numbers,
+ * window by window, and its starts by machine and attempt, so that each task adds only a few bytes; see [TaskNumberSet].
  */
 class PlacementJournal(private val state: ClusterState) {
     private val pages = ArrayList<JournalPage>()
 
-    /** Reservations that no page has yet. */
+    /** Reservations that are not in any page yet. */
     private val startsDue = LinkedHashSet<Placement>()
 
-    /** By job, then by the first number of the window. */
+    /** Windows of results by job, then by the first task number of the window. */
     private val results = HashMap<Job, HashMap<Int, ResultWindow>>()
 
-    /** Those with numbers that no page has yet. */
+    /** The windows with results that are not in any page yet. */
     private val resultsDue = LinkedHashSet<ResultWindow>()
     private var nextWriteAt = Long.MIN_VALUE
-    private val capacity get() = state.cluster.pageBytes
+    private val pageCapacity get() = state.cluster.pageBytes
 
-    /** Takes over a page of an earlier term; [placements] and [done] are its entries that are still needed. */
+    /** Takes over a page of an earlier term; [placements] and [done] are those of its entries that are still needed. */
     fun restore(number: Int, version: Long, placements: List<Placement>, done: List<Task>) {
         while (pages.size <= number) pages += JournalPage(pages.size, 0)
         val page = pages[number]
@@ -61,45 +62,46 @@
         return results.getOrPut(task.job, ::HashMap).getOrPut(first) { ResultWindow(task.job, first) }
     }
 
-    /** A reservation that must be recorded before its start is sent. */
+    /** Adds a reservation, which must be recorded before its start is sent. */
     fun add(start: Placement) {
         startsDue += start
     }
 
-    /** A result that must be recorded before its attempt is reaped. */
+    /** Adds a result, which must be recorded before its attempt is reaped. */
     fun add(result: Task) {
         val window = windowOf(result)
         window.add(result.number)
         resultsDue += window
     }
 
+    /** A line of statistics: unwritten entries and pages. */
     fun statistics() =
         "placement journal: ${startsDue.size} starts and ${resultsDue.sumOf { it.unwritten }} results to write, " +
             "${pages.size} pages, ${pages.count { it.busy }} busy"
 
-    /** Writes one page, if anything is due and the rate of writes allows it. */
+    /** Writes one page, if entries are due and the write rate allows it. */
     fun flush(now: Long) {
         startsDue.removeIf { it.gone || it.phase != Phase.RESERVED }
         resultsDue.removeIf { it.job.terminalRecord.state != TerminalRecord.State.OPEN }
         if (startsDue.isEmpty() && resultsDue.isEmpty()) return
-        if (now < nextWriteAt || pages.count { it.busy } >= MAX_BUSY) return
+        if (now < nextWriteAt || pages.count { it.busy } >= MAX_BUSY_PAGES) return
         nextWriteAt = now + state.cluster.pageGapMs
         results.keys.removeIf { it.stage != JobStage.ACTIVE }
         write(emptiestPage())
     }
 
-    /** The page with the least that is still needed: so pages are emptied, and their number stays small. */
+    /** The page with the fewest bytes still needed, or a new one if all are more than half full. Reuse keeps the number of pages small. */
     private fun emptiestPage(): JournalPage {
         val emptiest = pages.filter { !it.busy }.map { it to it.compact() }.minByOrNull { it.second }
-        if (emptiest != null && emptiest.second <= capacity / 2) return emptiest.first
+        if (emptiest != null && emptiest.second <= pageCapacity / 2) return emptiest.first
         return JournalPage(pages.size, 0).also(pages::add)
     }
 
     private fun write(page: JournalPage) {
-        val room = capacity - page.compact()
+        val room = pageCapacity - page.compact()
         val newResults = takeResults(page, if (startsDue.isEmpty()) room else room / 2)
         val newStarts = takeStarts(room - newResults.sumOf { addedBytes(it, page) })
-        val written = (page.results + newResults).associateWith { it.known.clone() as BitSet }
+        val written = (page.results + newResults).associateWith { it.finished.clone() as BitSet }
         val record = JournalPageRecord(page.number, page.version, (page.starts + newStarts).map(::recorded), numbersByJob(written))
         page.busy = true
         state.commit(listOf(Change.JournalPage(record, state.nextSequence()))) { outcome ->
@@ -111,7 +113,8 @@
                     newStarts.forEach { if (!it.gone && it.phase == Phase.RESERVED) it.enter(Phase.RECORDED, state.now) }
                     written.forEach { (window, numbers) -> markDurable(window, numbers, page) }
                 }
-                // Either content may be the durable one: what was there before is in both, the rest is written again.
+                // The page may be durable with the old or the new content. Both have the old entries; the new ones are
+                // written again.
                 is CommitOutcome.Failed -> {
                     outcome.version?.let { page.version = it }
                     startsDue += newStarts
@@ -122,24 +125,24 @@
     }
 
     /**
-     * Takes what fits into [bytes] from the results that are due. They go before starts, which keep half of the room: they
-     * are short, and until they are durable their workers go on reporting them.
+     * Takes those of the due results that fit into [bytes]. Results have precedence over starts, for which half of the page is
+     * left: results are short, and workers repeat their reports until the results are durable.
      */
     private fun takeResults(page: JournalPage, bytes: Int): List<ResultWindow> {
-        var left = bytes
+        var bytesLeft = bytes
         val taken =
             resultsDue.takeWhile { window ->
                 val added = addedBytes(window, page)
-                (left >= added).also { fits -> if (fits) left -= added }
+                (bytesLeft >= added).also { fits -> if (fits) bytesLeft -= added }
             }
         resultsDue.removeAll(taken.toSet())
         return taken
     }
 
-    /** What is in the page already is counted with the page. */
+    /** The bytes that [window] adds to [page]; a window that the page already has is counted in the page's size. */
     private fun addedBytes(window: ResultWindow, page: JournalPage) = if (window in page.results) 0 else window.bytes
 
-    /** Takes what fits into [bytes] from the starts that are due; when hundreds wait after a mass failure, the most urgent first. */
+    /** Takes those of the due starts that fit into [bytes], by priority: after a mass failure hundreds of starts may be due. */
     private fun takeStarts(bytes: Int): List<Placement> {
         val size = StartsSize()
         val taken =
@@ -159,7 +162,7 @@
         return done
     }
 
-    /** [page] has [numbers] of [window] now: all that was durable of it before, so other pages need it no longer. */
+    /** [page] now has [numbers] of [window], which include all that were durable before: other pages may drop the window. */
     private fun markDurable(window: ResultWindow, numbers: BitSet, page: JournalPage) {
         val added = numbers.clone() as BitSet
         added.andNot(window.durable)
@@ -170,7 +173,7 @@
     }
 
     private companion object {
-        /** Writes on their way at once. */
-        const val MAX_BUSY = 3
+        /** Pages that are being written at the same time, at most. */
+        const val MAX_BUSY_PAGES = 3
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/results/TaskNumberSet.kt
+++ b/src/main/kotlin/org/honeyjunction/core/results/TaskNumberSet.kt
@@ -4,21 +4,21 @@
 import java.util.BitSet
 
 /**
- * Sets of task numbers as short text, window by window of [WINDOW] numbers: runs such as `3,17-90` where these are shorter,
- * else a bitmap such as `@2048:w4A…` (the first number, then the bits in base64). A job of 20,000 tasks takes some ten bytes a
- * window while its tasks end in order, and no more than [MOST] in any order.
+ * Encodes sets of task numbers as short text. Each window of [WINDOW] numbers is encoded as runs such as `3,17-90`, or as a
+ * bitmap such as `@2048:w4A…` (the first number, then the bits in base64), whichever is shorter. A job of 20,000 tasks takes
+ * about ten bytes per window while its tasks end in order, and at most [MAX_WINDOW_LENGTH] in any order.
  */
 object TaskNumberSet {
     /** Numbers that are encoded together. */
     const val WINDOW = 1024
 
-    /** Longest text of one window, in characters: its bitmap, and where it begins. */
-    const val MOST = (WINDOW / 8 + 2) / 3 * 4 + 10
+    /** Longest text of one window, in characters: its bitmap and its first number. */
+    const val MAX_WINDOW_LENGTH = (WINDOW / 8 + 2) / 3 * 4 + 10
 
-    /** More numbers than any job has tasks. */
-    private const val MOST_NUMBERS = 1 shl 20
+    /** More than any job has tasks. */
+    private const val MAX_NUMBERS = 1 shl 20
 
-    /** The text of [set]; [read] reads it. */
+    /** Encodes [set]; [read] decodes the text. */
     fun text(set: BitSet): String {
         val text = StringBuilder()
         var from = set.nextSetBit(0)
@@ -31,8 +31,8 @@
         return text.toString()
     }
 
-    /** Characters at most in the [text] of the window of [set] that begins at [first]; found without building it. */
-    fun length(set: BitSet, first: Int): Int = minOf(appendRuns(set, first, null), MOST)
+    /** An upper bound of the length of [text] for the window of [set] that begins at [first]; does not build the text. */
+    fun length(set: BitSet, first: Int): Int = minOf(appendRuns(set, first, null), MAX_WINDOW_LENGTH)
 
     private fun windowText(set: BitSet, first: Int): String {
         val runs = StringBuilder()
@@ -42,7 +42,7 @@
         return if (length <= bitmap.length) runs.toString() else bitmap
     }
 
-    /** Appends the runs of the window that begins at [first] to [out], if there is one, and returns their length. */
+    /** Appends the runs of the window that begins at [first] to [out], unless it is null, and returns their length. */
     private fun appendRuns(set: BitSet, first: Int, out: StringBuilder?): Int {
         var length = 0
         var from = set.nextSetBit(first)
@@ -65,8 +65,8 @@
 
     private fun digits(number: Int): Int = if (number < 10) 1 else 1 + digits(number / 10)
 
-    /** The set that [text] stands for; null where it is malformed, or has a number from [limit] on. */
-    fun read(text: String, limit: Int = MOST_NUMBERS): BitSet? {
+    /** Decodes [text]; null if it is malformed or has a number that is not below [limit]. */
+    fun read(text: String, limit: Int = MAX_NUMBERS): BitSet? {
         val set = BitSet()
         if (text.isEmpty()) return set
         for (part in text.split(',')) {
@@ -76,7 +76,7 @@
         return set
     }
 
-    /** Adds a run such as `17-90`, or a single number, to [into]; false where it is malformed. */
+    /** Adds a run such as `17-90`, or a single number, to [into]; false if it is malformed. */
     private fun readRun(part: String, into: BitSet, limit: Int): Boolean {
         val from = part.substringBefore('-').toIntOrNull() ?: return false
         val to = if ('-' in part) part.substringAfter('-').toIntOrNull() ?: return false else from
@@ -85,10 +85,10 @@
         return true
     }
 
-    /** Adds a bitmap such as `@2048:w4A` to [into]; false where it is malformed. */
+    /** Adds a bitmap such as `@2048:w4A` to [into]; false if it is malformed. */
     private fun readBitmap(part: String, into: BitSet): Boolean {
         val first = part.substring(1).substringBefore(':', "").toIntOrNull() ?: return false
-        if (first < 0 || first % WINDOW != 0 || first > MOST_NUMBERS) return false
+        if (first < 0 || first % WINDOW != 0 || first > MAX_NUMBERS) return false
         val bits =
             try {
                 BitSet.valueOf(Base64.getDecoder().decode(part.substringAfter(':')))
--- a/src/test/kotlin/org/honeyjunction/core/control/jobs/JobTerminationExploration.kt
+++ b/src/test/kotlin/org/honeyjunction/core/control/jobs/JobTerminationExploration.kt
@@ -1,9 +1,12 @@
 package org.honeyjunction.core.control.jobs
 
-/** What an exploration found: sequences of actions that break an invariant, what came about, and how many states it reached. */
+/**
+ * The result of an exploration: the sequences of actions that break an invariant, the situations that occurred, and the number
+ * of states that were reached.
+ */
 data class JobTerminationExploration(val violations: List<String>, val observed: Set<String>, val states: Int) {
     companion object {
-        /** Everything that [depth] actions can lead to, breadth first; a state that was reached before is not followed twice. */
+        /** Explores all sequences of up to [depth] actions, breadth first; does not continue from a state that was reached before. */
         fun explore(depth: Int, actions: List<String>, newModel: () -> JobTerminationModel): JobTerminationExploration {
             val violations = ArrayList<String>()
             val observed = HashSet<String>()
--- a/src/test/kotlin/org/honeyjunction/core/control/jobs/JobTerminationModel.kt
+++ b/src/test/kotlin/org/honeyjunction/core/control/jobs/JobTerminationModel.kt
@@ -24,10 +24,11 @@
 import org.honeyjunction.simulation.ClusterSetup
 
 /**
- * The end of one job, between a leader, its successor, the state service, the machine with its tasks, another machine that
- * knows nothing of the term, and users who ask the leader or read the record through other nodes. The leaders are the ones
- * that run; all else acts as the pages say. [comparesVersions] and [comparesTerm]: what the state service compares;
- * [pageWritesAnswered]: pages are written at once.
+ * A model of the end of one job. Takes part: a leader and its successor, the state service, the machine that runs the job's
+ * tasks (vm-1), a machine that does not know the term's fencing token (vm-2), and users who ask the leader or read the job's
+ * record through other nodes. The leaders run the production code; everything else is simulated as specified.
+ * [comparesVersions] and [comparesTerm] say which conditions the state service checks, [pageWritesAnswered] whether writes of
+ * journal pages are answered at once.
  */
 class JobTerminationModel(
     tasks: Int,
@@ -57,16 +58,18 @@
             null,
         )
 
-    /** A write that the state service has not answered; [writer]: its leader. */
+    /** A write of the leader [writer] that the state service has not answered. */
     private class PendingWrite(val writer: ModelLeader, val commit: Effect.Commit) {
         val change get() = commit.changes.single()
         val terminal = commit.changes.singleOrNull() as? Change.JobFinished
     }
 
-    /** The leader of [term], with what is on its way to it; [lost]: it has learned that its term is over. */
+    /** The leader of [term] and the number of its unanswered reads of the job's record. */
     private class ModelLeader(val term: Long, val leader: Leader, private val jobId: String) {
         val job get() = leader.state.job(jobId)!!
         var recordReads = 0
+
+        /** Whether the leader has learned that its term is over. */
         var lost = false
         val key get() =
             listOf(
@@ -92,7 +95,7 @@
     private var heartbeats = 5L
     private var cancelRequested = false
 
-    /** What a user was told last. */
+    /** The stage that a user was told last. */
     private var lastAnswer: JobStage? = null
     private val pendingWrites = ArrayList<PendingWrite>()
     private val delayedWrites = ArrayList<PendingWrite>()
@@ -103,7 +106,7 @@
     var violation: String? = null
         private set
 
-    /** What came about, so that a test can tell that it was there. */
+    /** Situations that occurred, so that a test can check that the exploration covered them. */
     val observed = HashSet<String>()
 
     init {
@@ -118,16 +121,25 @@
         return ModelLeader(service.term, leader, spec.id)
     }
 
-    private fun violated(what: String) {
-        if (violation == null) violation = what
+    private fun recordViolation(description: String) {
+        if (violation == null) violation = description
     }
 
-    /** [source] tells a user that the job is [stage]. */
+    /** [source] tells a user that the job is in [stage]; a final stage may never change, and must be true. */
     private fun tell(stage: JobStage, source: String) {
         val before = lastAnswer
-        if (before != null && before != JobStage.ACTIVE && before != stage) violated("$source tells $stage after $before was told")
-        if (stage == JobStage.CANCELLED && !cancelRequested) violated("$source tells of a cancellation that nobody asked for")
-        if (stage == JobStage.DONE && endedTasks.size < spec.tasks) violated("$source calls it done")
+        if (before != null &&
+            before != JobStage.ACTIVE &&
+            before != stage
+        ) {
+            recordViolation("$source reports $stage after $before was reported")
+        }
+        if (stage == JobStage.CANCELLED && !cancelRequested) recordViolation("$source reports a cancellation that nobody requested")
+        if (stage == JobStage.DONE &&
+            endedTasks.size < spec.tasks
+        ) {
+            recordViolation("$source reports the job as done before all tasks have ended")
+        }
         lastAnswer = stage
     }
 
@@ -154,29 +166,33 @@
                 if (tasksOnMachine[number] == TaskState.Running) {
                     tasksOnMachine[number] = TaskState.Ended(TerminationReason.STOPPED, false)
                 }
-            is Command.Start -> violated("a start in an answer")
+            is Command.Start -> recordViolation("a start in an answer")
         }
     }
 
-    /** Does what the leader asks for; what only helps a later leader is written at once. */
-    private fun settle(of: ModelLeader) {
-        for (effect in of.leader.drainEffects()) {
+    /** Carries out the leader's effects; writes of checkpoints, which only help a later leader, are answered at once. */
+    private fun settle(source: ModelLeader) {
+        for (effect in source.leader.drainEffects()) {
             when (effect) {
                 is Effect.Commit -> {
-                    val write = PendingWrite(of, effect)
+                    val write = PendingWrite(source, effect)
                     val waits = effect.changes.any { it is Change.JobFinished || it is Change.JournalPage && !pageWritesAnswered }
                     if (waits) pendingWrites += write else answer(write, apply(write))
                 }
-                is Effect.ReadJobRecord -> of.recordReads++
+                is Effect.ReadJobRecord -> source.recordReads++
                 is Effect.CancellationConfirmed ->
-                    if (!of.lost) tellByLeader(if (effect.done) JobStage.DONE else JobStage.CANCELLED, of)
+                    if (!source.lost) tellByLeader(if (effect.done) JobStage.DONE else JobStage.CANCELLED, source)
                 is Effect.StepDown -> {
-                    if (of.term == service.term) violated("the term is given up: ${effect.reason}")
-                    of.lost = true
+                    if (source.term == service.term) recordViolation("the leader steps down during its term: ${effect.reason}")
+                    source.lost = true
                 }
                 is Effect.Send -> {
                     val start = effect.commands.filterIsInstance<Command.Start>().firstOrNull()
-                    if (start != null && service.stage != JobStage.ACTIVE) violated("$start")
+                    if (start != null &&
+                        service.stage != JobStage.ACTIVE
+                    ) {
+                        recordViolation("a task is started after the final state was recorded: $start")
+                    }
                 }
                 is Effect.ScaleOut, is Effect.ScaleIn, is Effect.LogEvent -> Unit
             }
@@ -192,7 +208,7 @@
 
     private fun apply(write: PendingWrite): CommitOutcome = service.apply(write.change, write.writer.term)
 
-    /** As the driver: after a refusal it looks whose term it is; a page without a clear answer is read. */
+    /** The outcome that the leader's driver derives: it checks the term after a refusal, and reads a page after an unclear answer. */
     private fun outcomeAtDriver(write: PendingWrite, outcome: CommitOutcome, answered: Boolean): CommitOutcome {
         if (answered && outcome is CommitOutcome.Applied) return outcome
         if (answered && write.writer.term != service.term) write.writer.lost = true
@@ -203,7 +219,7 @@
     private fun takePendingWrite(terminal: Boolean): PendingWrite? =
         pendingWrites.firstOrNull { (it.terminal != null) == terminal }?.also { pendingWrites -= it }
 
-    private fun carryOut(terminal: Boolean, answered: Boolean) {
+    private fun answerWrite(terminal: Boolean, answered: Boolean) {
         val write = takePendingWrite(terminal) ?: return
         val outcome = apply(write)
         observed += if (answered) "answered" else "answer lost"
@@ -216,36 +232,37 @@
         answer(write, CommitOutcome.Failed())
     }
 
-    private fun delayPage() {
+    private fun delayPageWrite() {
         val write = takePendingWrite(terminal = false) ?: return
         delayedWrites += write
         answer(write, outcomeAtDriver(write, CommitOutcome.Failed(), false))
     }
 
-    private fun carryOutDelayed() {
+    private fun applyDelayedWrite() {
         val write = delayedWrites.removeFirstOrNull() ?: return
-        if (apply(write) is CommitOutcome.Applied) observed += "carried out late"
+        if (apply(write) is CommitOutcome.Applied) observed += "applied late"
     }
 
+    /** Carries out [action] and checks the invariants. */
     fun act(action: String): JobTerminationModel {
         now += STEP_MS
         when (action) {
             "task 0 ends", "task 1 ends" -> endTask(action[5].digitToInt())
             "vm-1 reports" -> report()
-            "its user cancels" -> cancel()
-            "the final write is answered" -> carryOut(terminal = true, answered = true)
-            "the final write's answer is lost" -> carryOut(terminal = true, answered = false)
-            "the final write is held back" -> delayTerminalWrite()
-            "the page is answered" -> carryOut(terminal = false, answered = true)
-            "the page's answer is lost" -> carryOut(terminal = false, answered = false)
-            "the page is held back" -> delayPage()
-            "what was held back is carried out" -> carryOutDelayed()
+            "the user cancels the job" -> cancel()
+            "the final write is answered" -> answerWrite(terminal = true, answered = true)
+            "the final write's answer is lost" -> answerWrite(terminal = true, answered = false)
+            "the final write is delayed" -> delayTerminalWrite()
+            "the page write is answered" -> answerWrite(terminal = false, answered = true)
+            "the page write's answer is lost" -> answerWrite(terminal = false, answered = false)
+            "the page write is delayed" -> delayPageWrite()
+            "a delayed write is applied" -> applyDelayedWrite()
             "the record is read" -> readRecord(answers = true)
-            "reading it fails" -> readRecord(answers = false)
-            "others read it" -> tell(service.stage, "another node")
-            "the leader is asked" -> askLeader()
-            "a machine that knows no token shows a task" -> report("vm-2", 0, listOf(ReportedTask("j-1", 0, 76, TaskState.Running)))
-            "it shows the token, and nothing" -> report("vm-2", current.term shl 24, emptyList())
+            "reading the record fails" -> readRecord(answers = false)
+            "another node reads the record" -> tell(service.stage, "another node")
+            "a user asks the leader" -> askLeader()
+            "vm-2 reports a task without the token" -> report("vm-2", 0, listOf(ReportedTask("j-1", 0, 76, TaskState.Running)))
+            "vm-2 reports the token and no task" -> report("vm-2", current.term shl 24, emptyList())
             "the term changes" -> changeTerm()
             else -> error(action)
         }
@@ -296,16 +313,20 @@
     private fun checkInvariants() {
         val job = current.job
         if (current.lost) return
-        if (service.stage != JobStage.ACTIVE && job.startable) violated("it may be started though its record says ${service.stage}")
+        if (service.stage != JobStage.ACTIVE &&
+            job.startable
+        ) {
+            recordViolation("a task may be started although the record says ${service.stage}")
+        }
         if (job.startable && delayedWrites.any { it.terminal != null && it.writer === current }) {
-            violated("it may be started while its end may yet be recorded")
+            recordViolation("a task may be started while a delayed write may still record the end")
         }
         for (task in job.tasks) {
             val forgotten = task.number !in tasksOnMachine && task.number in endedTasks
-            if (forgotten && !task.done && job.startable) violated("task ${task.number} is forgotten by its machine and not done")
+            if (forgotten && !task.done && job.startable) recordViolation("task ${task.number} is forgotten by its machine and not done")
         }
         val inDoubt = job.terminalRecord.state.name !in setOf("OPEN", "RECORDED")
-        if (inDoubt && job.placements.any { !it.machine.lease.fenced }) observed += "in doubt, and a machine that knows no token"
+        if (inDoubt && job.placements.any { !it.machine.lease.fenced }) observed += "in doubt with an unfenced machine"
     }
 
     private fun key(write: PendingWrite) =
@@ -317,7 +338,7 @@
             },
         )
 
-    /** What tells one state from another. */
+    /** Identifies the state of the model. */
     val key get() =
         listOf(
             service.term,
@@ -332,31 +353,33 @@
             former?.takeIf { it.recordReads > 0 || pendingWrites.any { write -> write.writer === it } }?.key,
         )
 
-    /** All faults are over: everything is answered, users repeat what they asked for, and the job has to end as its record says. */
+    /** Ends all faults: every request is answered, users repeat theirs, and the job has to reach the stage that its record has. */
     fun end() {
         repeat(12) {
-            act("what was held back is carried out")
-            act("it shows the token, and nothing")
+            act("a delayed write is applied")
+            act("vm-2 reports the token and no task")
             act("vm-1 reports")
-            if (cancelRequested) act("its user cancels")
-            act("the page is answered")
+            if (cancelRequested) act("the user cancels the job")
+            act("the page write is answered")
             act("the final write is answered")
             act("the record is read")
             now += 2_000
             current.leader.tick(now)
             settle(current)
         }
-        act("the leader is asked")
-        act("others read it")
+        act("a user asks the leader")
+        act("another node reads the record")
         val stage = service.stage
         val ends = cancelRequested || endedTasks.size == spec.tasks
         if (ends && (stage == JobStage.ACTIVE || current.job.stage != stage)) {
-            violated("it does not end: the record says $stage, the leader ${current.job.stage} and ${current.job.terminalRecord.state}")
+            recordViolation(
+                "the job does not end: the record says $stage, the leader ${current.job.stage} and ${current.job.terminalRecord.state}",
+            )
         }
     }
 
     companion object {
-        /** Longer than what pages wait for each other. */
+        /** Longer than the minimum interval between writes of journal pages. */
         const val STEP_MS = 200L
     }
 }
--- a/src/test/kotlin/org/honeyjunction/core/control/jobs/JobTerminationModelTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/control/jobs/JobTerminationModelTest.kt
@@ -7,34 +7,34 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 
-/** Every short order of what can happen while a job ends, with the leader's own code: see [JobTerminationModel]. */
+/** Explores every short sequence of events around the end of a job with the leader's production code; see [JobTerminationModel]. */
 class JobTerminationModelTest {
     @Test
-    fun `a terminal record with an unknown outcome, whatever is read, asked, carried out late or taken over meanwhile`() {
+    fun `no invariant breaks while a terminal write is in doubt, with reads, status requests, late writes and failovers`() {
         val (violations, observed, states) = explore(DEPTH, OUTCOME_UNKNOWN) { JobTerminationModel(1) }
         assertEquals(emptyList<String>(), violations)
         assertTrue(states > 2_000, "$states")
         assertTrue(
-            observed.containsAll(listOf("answered", "answer lost", "carried out late", "in doubt, and a machine that knows no token")),
+            observed.containsAll(listOf("answered", "answer lost", "applied late", "in doubt with an unfenced machine")),
             "$observed",
         )
     }
 
     @Test
-    fun `ends far apart, cancellations, status requests and a failover, with pages and terminal records answered, lost or late`() {
+    fun `no invariant breaks when two tasks end far apart, with a cancellation, a failover, and writes answered, lost or late`() {
         val (violations, observed, states) = explore(DEPTH, TWO_TASKS) { JobTerminationModel(2, pageWritesAnswered = false) }
         assertEquals(emptyList<String>(), violations)
         assertTrue(states > 10_000, "$states")
-        assertTrue(observed.containsAll(listOf("answered", "answer lost", "carried out late")), "$observed")
+        assertTrue(observed.containsAll(listOf("answered", "answer lost", "applied late")), "$observed")
     }
 
-    /** Guards the exploration: the condition on the term, which a leader's writes have, is needed. */
+    /** Checks the exploration itself: it must detect that a leader's writes lack the condition on the term. */
     @Test
     fun `writes without the condition on the term are found to violate an invariant`() {
         assertTrue(explore(DEPTH, OUTCOME_UNKNOWN) { JobTerminationModel(1, comparesTerm = false) }.violations.isNotEmpty())
     }
 
-    /** A page that is carried out after newer ones would bring back what it did not know of. */
+    /** Guards against a lost result: a delayed write of an older page must not overwrite newer pages, which have more results. */
     @ParameterizedTest
     @CsvSource("true, ", "false, task 1 is forgotten by its machine and not done")
     fun `a result outlives an older page that is applied late, by the compare-and-swap on the version`(
@@ -42,12 +42,12 @@
         violation: String?,
     ) {
         val path =
-            "task 0 ends, the page is held back, the page is answered, task 1 ends, the page is answered, vm-1 reports, what " +
-                "was held back is carried out, the term changes"
+            "task 0 ends, the page write is delayed, the page write is answered, task 1 ends, the page write is answered, " +
+                "vm-1 reports, a delayed write is applied, the term changes"
         val initial = JobTerminationModel(3, pageWritesAnswered = false, comparesVersions = comparesVersions)
         val model = path.split(", ").fold(initial) { model, action -> model.act(action) }
         assertEquals(violation, model.violation)
-        assertEquals(comparesVersions, "carried out late" !in model.observed, "only without it is it carried out")
+        assertEquals(comparesVersions, "applied late" !in model.observed, "the delayed write is applied only if versions are not compared")
     }
 
     private companion object {
@@ -55,17 +55,17 @@
         val OUTCOME_UNKNOWN =
             listOf(
                 "task 0 ends",
-                "its user cancels",
+                "the user cancels the job",
                 "the final write is answered",
                 "the final write's answer is lost",
-                "the final write is held back",
-                "what was held back is carried out",
+                "the final write is delayed",
+                "a delayed write is applied",
                 "the record is read",
-                "reading it fails",
-                "others read it",
-                "the leader is asked",
-                "a machine that knows no token shows a task",
-                "it shows the token, and nothing",
+                "reading the record fails",
+                "another node reads the record",
+                "a user asks the leader",
+                "vm-2 reports a task without the token",
+                "vm-2 reports the token and no task",
                 "the term changes",
             )
         val TWO_TASKS =
@@ -73,16 +73,16 @@
                 "task 0 ends",
                 "task 1 ends",
                 "vm-1 reports",
-                "its user cancels",
+                "the user cancels the job",
                 "the final write is answered",
                 "the final write's answer is lost",
-                "the page is answered",
-                "the page's answer is lost",
-                "the page is held back",
-                "what was held back is carried out",
+                "the page write is answered",
+                "the page write's answer is lost",
+                "the page write is delayed",
+                "a delayed write is applied",
                 "the record is read",
-                "others read it",
-                "the leader is asked",
+                "another node reads the record",
+                "a user asks the leader",
                 "the term changes",
             )
     }
--- a/src/test/kotlin/org/honeyjunction/core/control/journal/PlacementJournalTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/control/journal/PlacementJournalTest.kt
@@ -57,7 +57,7 @@
             state.place(task, machine, state.nextSequence(), Phase.RESERVED, now).also(journal::add)
         }
 
-    /** The pages that the next flush writes, each with the id of its commit. */
+    /** Flushes the journal; returns the pages that it writes, each with the identifier of its commit. */
     private fun flushedPages(): List<Pair<Long, JournalPageRecord>> {
         now += 1_000
         journal.flush(now)
@@ -136,10 +136,10 @@
         assertEquals(setOf(Phase.RECORDED), job.placements.map { it.phase }.toSet())
     }
 
-    /** Guards against the night on which 18,000 results waited: one page write must take thousands of them. */
+    /** Guards against a backlog of results, which once reached 18,000: one page write must record thousands of results. */
     @ParameterizedTest(name = "{0}")
     @CsvSource("in order, 1, 3", "every second first, 2, 10", "scattered, 7919, 26")
-    fun `twenty thousand results take a few writes, in any order`(name: String, step: Int, writes: Int) {
+    fun `twenty thousand results are recorded in a few writes, whatever their order`(name: String, step: Int, writes: Int) {
         val largeJob = state.addJob(StoredJob(spec.copy(id = "j-000002", tasks = 20_000), "n", 0, 9, JobStage.ACTIVE), 0, 0)
         val order =
             if (step == 2) {
@@ -149,7 +149,7 @@
             }
         var count = 0
         for (chunk in order.chunked(7_000)) {
-            chunk.forEach { n -> largeJob.tasks[n].let { if (largeJob.finish(it)) journal.add(it) } }
+            chunk.forEach { number -> largeJob.tasks[number].let { if (largeJob.finish(it)) journal.add(it) } }
             repeat(20) {
                 for ((id, page) in flushedPages()) {
                     count++
@@ -166,7 +166,7 @@
     }
 
     @Test
-    fun `the starts of one array on one machine share their record`() {
+    fun `starts of one array on one machine are recorded together in a few bytes`() {
         val largeJob =
             state.addJob(
                 StoredJob(spec.copy(id = "j-000003", tasks = 96, need = Resources(0.01, 0.01, 0.01)), "n", 0, 9, JobStage.ACTIVE),
@@ -175,7 +175,7 @@
             )
         largeJob.tasks.forEach { state.place(it, state.addMachine("vm-000001", 0), 77, Phase.RESERVED, now).also(journal::add) }
         val (_, page) = flushedPages().single()
-        assertEquals(79, page.startedTasks().size, "as many as surely fit into 600 bytes")
+        assertEquals(79, page.startedTasks().size, "as many starts as certainly fit into a page of 600 bytes")
         val json = JournalPageCodec.write(page, 4)
         assertTrue(Json.write(json).size < 120, "$json")
         assertEquals(page, JournalPageCodec.read(page.page, page.version, Json.read(Json.write(json))))
--- a/src/test/kotlin/org/honeyjunction/core/control/writes/WriteRateAllocatorTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/control/writes/WriteRateAllocatorTest.kt
@@ -11,19 +11,19 @@
 class WriteRateAllocatorTest {
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // case, queued at n1, at n2, at the leader, what the leader must write a second; the shares of n1, n2 and the
-        // leader, of 100 changes a second
-        "nothing waits: the fixed shares,          0,  0,  0,  0,  15,   15,  65",
-        "all users come to one that is no leader,  50, 0,  0,  0,  62,   3,   30",
-        "as many wait at the leader,               50, 0,  50, 0,  32.5, 3,   59.5",
-        "only the leader has something to write,   0,  0,  40, 0,  3,    3,   89",
-        "what ends jobs goes before what comes in, 50, 0,  0,  60, 32,   3,   60",
-        "but what comes in is never left without,  50, 0,  0, 500, 17,   3,   75",
+        // case, writes queued at n1, n2 and the leader, writes per second that the leader requires; then the shares of n1, n2
+        // and the leader, of 100 writes per second
+        "no queued writes: the fixed shares,        0,  0,  0,  0,  15,   15,  65",
+        "writes are queued at one follower only,    50, 0,  0,  0,  62,   3,   30",
+        "as many writes are queued at the leader,   50, 0,  50, 0,  32.5, 3,   59.5",
+        "writes are queued at the leader only,      0,  0,  40, 0,  3,    3,   89",
+        "required writes precede queued ones,       50, 0,  0,  60, 32,   3,   60",
+        "queued writes always keep a share,         50, 0,  0, 500, 17,   3,   75",
     )
-    fun `shares follow what is queued`(
+    fun `shares follow the queued writes`(
         case: String,
-        n1: Int,
-        n2: Int,
+        queuedAtN1: Int,
+        queuedAtN2: Int,
         leaderQueued: Int,
         leaderRequired: Double,
         share1: Double,
@@ -31,15 +31,15 @@
         leaderShare: Double,
     ) {
         val allocator = WriteRateAllocator(100.0, 3)
-        allocator.followerShare("n1", n1, leaderQueued, leaderRequired, 0)
-        val second = allocator.followerShare("n2", n2, leaderQueued, leaderRequired, 100)
-        val first = allocator.followerShare("n1", n1, leaderQueued, leaderRequired, 200)
+        allocator.followerShare("n1", queuedAtN1, leaderQueued, leaderRequired, 0)
+        val second = allocator.followerShare("n2", queuedAtN2, leaderQueued, leaderRequired, 100)
+        val first = allocator.followerShare("n1", queuedAtN1, leaderQueued, leaderRequired, 200)
         val shares = listOf(first, second, allocator.leaderShare(leaderQueued, leaderRequired, 200))
         assertEquals(listOf(share1, share2, leaderShare), shares.map { Math.round(it * 10) / 10.0 }, case)
     }
 
     @Property(tries = 400, seed = "4")
-    fun `the shares together never exceed what the state service allows, and no node is left without`(
+    fun `the shares together never exceed the allowed rate, and every node has a share`(
         @ForAll @Size(min = 5, max = 5) drawn: List<Int>,
     ) {
         val queued = drawn.map { Math.floorMod(it, 500) }
