--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/Explainer.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/Explainer.kt
@@ -31,10 +31,10 @@
      * The best forbidden machine by job index. The search runs once for each job of an accepted set of proposals or of a
      * request; see [begin].
      */
-    private val bestForbidden = HashMap<Int, Alternative?>()
+    private val bestForbiddenByJob = HashMap<Int, Alternative?>()
 
     /** Clears what is cached for one batch; to be called before each set of proposals and each request for explanations. */
-    fun begin() = bestForbidden.clear()
+    fun begin() = bestForbiddenByJob.clear()
 
     /**
      * Records the explanation of a start that was just accepted, once all starts of its job are reserved. [imageCached] says
@@ -91,7 +91,7 @@
         val job = task.job
         val lines = ruleLines(task, machine)
         val costGb = localityGb + lines.sumOf { it.costGb ?: 0.0 }
-        val forbidden = bestForbidden.getOrPut(job.index) { findBestForbidden(job, task) }
+        val forbidden = bestForbiddenByJob.getOrPut(job.index) { findBestForbidden(job, task) }
         return Explanation(
             task = task.id,
             machine = machine.name,
--- a/src/test/kotlin/org/honeyjunction/core/control/jobs/JobTerminationModel.kt
+++ b/src/test/kotlin/org/honeyjunction/core/control/jobs/JobTerminationModel.kt
@@ -128,18 +128,9 @@
     /** [source] tells a user that the job is in [stage]; a final stage may never change, and must be true. */
     private fun tell(stage: JobStage, source: String) {
         val before = lastAnswer
-        if (before != null &&
-            before != JobStage.ACTIVE &&
-            before != stage
-        ) {
-            recordViolation("$source reports $stage after $before was reported")
-        }
+        if (before != null && before != JobStage.ACTIVE && before != stage) recordViolation("$source reports $stage after $before")
         if (stage == JobStage.CANCELLED && !cancelRequested) recordViolation("$source reports a cancellation that nobody requested")
-        if (stage == JobStage.DONE &&
-            endedTasks.size < spec.tasks
-        ) {
-            recordViolation("$source reports the job as done before all tasks have ended")
-        }
+        if (stage == JobStage.DONE && endedTasks.size < spec.tasks) recordViolation("$source reports done before all tasks ended")
         lastAnswer = stage
     }
 
@@ -188,11 +179,7 @@
                 }
                 is Effect.Send -> {
                     val start = effect.commands.filterIsInstance<Command.Start>().firstOrNull()
-                    if (start != null &&
-                        service.stage != JobStage.ACTIVE
-                    ) {
-                        recordViolation("a task is started after the final state was recorded: $start")
-                    }
+                    if (start != null && service.stage != JobStage.ACTIVE) recordViolation("started after the job's end: $start")
                 }
                 is Effect.ScaleOut, is Effect.ScaleIn, is Effect.LogEvent -> Unit
             }
@@ -313,11 +300,7 @@
     private fun checkInvariants() {
         val job = current.job
         if (current.lost) return
-        if (service.stage != JobStage.ACTIVE &&
-            job.startable
-        ) {
-            recordViolation("a task may be started although the record says ${service.stage}")
-        }
+        if (service.stage != JobStage.ACTIVE && job.startable) recordViolation("startable although its record says ${service.stage}")
         if (job.startable && delayedWrites.any { it.terminal != null && it.writer === current }) {
             recordViolation("a task may be started while a delayed write may still record the end")
         }
