--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/Explainer.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/Explainer.kt
@@ -29,12 +29,12 @@
 
     /**
      * The best forbidden machine by job index. The search runs once for each job of an accepted set of proposals or of a
-     * request; see [begin].
+     * request; see [beginBatch].
      */
     private val bestForbiddenByJob = HashMap<Int, Alternative?>()
 
     /** Clears what is cached for one batch; to be called before each set of proposals and each request for explanations. */
-    fun begin() = bestForbiddenByJob.clear()
+    fun beginBatch() = bestForbiddenByJob.clear()
 
     /**
      * Records the explanation of a start that was just accepted, once all starts of its job are reserved. [imageCached] says
@@ -69,7 +69,7 @@
     }
 
     /** The explanation that is kept of the task with this identifier, whose job the leader no longer knows. */
-    fun remembered(taskId: String, now: Long): Explanation? {
+    fun rememberedExplanation(taskId: String, now: Long): Explanation? {
         step(now)
         return decisions[taskId]?.explanation
     }
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/MachineCapacity.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/MachineCapacity.kt
@@ -14,7 +14,7 @@
 /** Computes the free capacity of machines, now and in the near future, for placement and the autoscaler. */
 class MachineCapacity(private val state: ClusterState) {
     /** The free capacity of [machine]; [upcoming] is the capacity that its tasks are expected to release. */
-    fun of(machine: Machine, now: Long, upcoming: List<UpcomingCapacity> = emptyList()): FreeCapacity {
+    fun freeCapacityOf(machine: Machine, now: Long, upcoming: List<UpcomingCapacity> = emptyList()): FreeCapacity {
         val heldFor = state.reservedFor(machine, now)
         return FreeCapacity(
             machine = machine.index,
@@ -43,7 +43,7 @@
         return openMachines().mapNotNull { machine ->
             val cachesImage = machine.images.keys.any { it in images }
             val upcoming = if (cachesImage) upcomingWithinWait(machine, now) else emptyList()
-            if (upcoming.isEmpty() && !fitsAny(machine, demands, now)) null else of(machine, now, upcoming)
+            if (upcoming.isEmpty() && !fitsAny(machine, demands, now)) null else freeCapacityOf(machine, now, upcoming)
         }
     }
 
@@ -51,7 +51,7 @@
     fun allFree(now: Long): List<FreeCapacity> =
         openMachines()
             .filter { machine -> state.room(machine).let { it.cpus > MIN_FREE && it.memoryGb > MIN_FREE } }
-            .map { of(it, now) }
+            .map { freeCapacityOf(it, now) }
 
     /** When the tasks of [machine], except those of services, are expected to end, and the capacity that each releases. */
     fun upcoming(machine: Machine, now: Long): List<UpcomingCapacity> =
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/TaskDispatcher.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/TaskDispatcher.kt
@@ -31,7 +31,7 @@
      */
     fun accept(proposals: List<Proposal>, now: Long): List<Boolean> {
         val accepted = BooleanArray(proposals.size)
-        explainer?.begin()
+        explainer?.beginBatch()
         for ((jobIndex, members) in proposals.indices.groupBy { proposals[it].job }) {
             val job = state.jobAt(jobIndex) ?: continue
             if (!job.startable || job.notBefore > now) continue
@@ -98,7 +98,7 @@
     }
 
     /** Sends the due commands of the machines for which commands may have become due since the last flush. */
-    fun flushTouched(now: Long) {
+    fun flushDueMachines(now: Long) {
         if (state.machinesToSendTo.isEmpty()) return
         val due = state.machinesToSendTo.toList()
         state.machinesToSendTo.clear()
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/WorkConservationMonitor.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/WorkConservationMonitor.kt
@@ -57,7 +57,7 @@
         observations.mapNotNull { (index, observation) -> state.jobAt(index)?.let { stalled(it, observation, now) } }
 
     /** Whether and why [job] is stalled; null if it is not. */
-    fun of(job: Job, now: Long): StalledJob? = observations[job.index]?.let { stalled(job, it, now) }
+    fun stalledJob(job: Job, now: Long): StalledJob? = observations[job.index]?.let { stalled(job, it, now) }
 
     private fun stalled(job: Job, observation: Observation, now: Long): StalledJob? {
         if (now - observation.since <= toleratedMs(job)) return null
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderComponents.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderComponents.kt
@@ -53,7 +53,7 @@
     fun flush(now: Long) {
         lifecycle.flush(now)
         journal.flush(now)
-        dispatcher.flushTouched(now)
+        dispatcher.flushDueMachines(now)
     }
 
     private companion object {
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderDiagnostics.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderDiagnostics.kt
@@ -46,7 +46,7 @@
     /** See [Leader.explain]. */
     fun explain(id: String, first: Int, most: Int, now: Long): List<Explanation>? {
         val explainer = parts.explainer ?: return null
-        explainer.begin()
+        explainer.beginBatch()
         val job = state.job(id) ?: return explainer.rememberedTasks(id, first, most, now)
         val freeCapacity = freeCapacityBeside(job, now)
         val context = startedCounts(job, now) + listOfNotNull(freeCapacity)
@@ -55,10 +55,10 @@
 
     /** What is remembered of the tasks of a job that is not in the state any more. */
     private fun Explainer.rememberedTasks(id: String, first: Int, most: Int, now: Long): List<Explanation>? =
-        (first until first + most).mapNotNull { remembered("$id/$it", now) }.ifEmpty { null }
+        (first until first + most).mapNotNull { rememberedExplanation("$id/$it", now) }.ifEmpty { null }
 
     private fun freeCapacityBeside(job: Job, now: Long): String? =
-        parts.workConservation.of(job, now)?.let {
+        parts.workConservation.stalledJob(job, now)?.let {
             "free machines have had room for it for ${(now - it.sinceMs) / 1000} s: ${it.reason.text}"
         }
 
--- a/src/main/kotlin/org/honeyjunction/core/control/machines/FailureDetector.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/machines/FailureDetector.kt
@@ -126,7 +126,7 @@
     private fun capacityForProduction(now: Long): List<FreeCapacity> =
         state.machines
             .filter { it.usable && it.address != null && it.type in state.cluster.types }
-            .map { queue.capacity.of(it, now).withFree(capacityFor(it, Priority.PRODUCTION)) }
+            .map { queue.capacity.freeCapacityOf(it, now).withFree(capacityFor(it, Priority.PRODUCTION)) }
             .filter { it.free.gpus > 0 || it.free.cpus > 0 }
 
     /** What is free on [machine], with what preempting checkpointed work of less than [priority] would free. */
--- a/src/main/kotlin/org/honeyjunction/core/control/preemption/PreemptionPlanner.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/preemption/PreemptionPlanner.kt
@@ -45,7 +45,7 @@
         val (leaving, staying) = machine.placements.values.partition { it.stopping }
         val free = leaving.fold(state.room(machine)) { sum, placement -> sum + placement.task.job.spec.need }
         val running = staying.filter { it.phase.reported }.mapTo(ArrayList()) { describe(it, now) }
-        return PreemptionSite(machine, queue.capacity.of(machine, now).withFree(free), running, state.book.table)
+        return PreemptionSite(machine, queue.capacity.freeCapacityOf(machine, now).withFree(free), running, state.book.table)
     }
 
     /** Which tasks may be preempted for a task depends on its team and its guarantee too. */
