--- a/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderDiagnostics.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderDiagnostics.kt
@@ -46,7 +46,7 @@
     /** See [Leader.explain]. */
     fun explain(id: String, first: Int, limit: Int, now: Long): List<Explanation>? {
         val explainer = components.explainer ?: return null
-        explainer.begin()
+        explainer.beginBatch()
         val job = state.job(id) ?: return explainer.rememberedTasks(id, first, limit, now)
         val freeCapacity = freeCapacityBeside(job, now)
         val context = startedCounts(job, now) + listOfNotNull(freeCapacity)
@@ -55,10 +55,10 @@
 
     /** The remembered explanations for the tasks of a job that is not in the state any more; null if there are none. */
     private fun Explainer.rememberedTasks(id: String, first: Int, limit: Int, now: Long): List<Explanation>? =
-        (first until first + limit).mapNotNull { remembered("$id/$it", now) }.ifEmpty { null }
+        (first until first + limit).mapNotNull { rememberedExplanation("$id/$it", now) }.ifEmpty { null }
 
     private fun freeCapacityBeside(job: Job, now: Long): String? =
-        components.workConservation.of(job, now)?.let {
+        components.workConservation.stalledJob(job, now)?.let {
             "free machines have had room for it for ${(now - it.sinceMs) / 1000} s: ${it.reason.text}"
         }
 
