--- a/src/main/kotlin/org/honeyjunction/core/boot/BootTimes.kt
+++ b/src/main/kotlin/org/honeyjunction/core/boot/BootTimes.kt
@@ -3,40 +3,40 @@
 import org.HdrHistogram.Histogram
 import kotlin.math.roundToLong
 
-/** Instances of one kind: type, zone, and whether it is a spot instance, by their dense indices. */
+/** A kind of instance: the dense indices of its type and zone, and whether it is a spot instance. */
 data class InstanceKind(val type: Int, val zone: Int, val spot: Boolean)
 
 /**
- * The boot times of one kind, as checkpointed for the next leader: how many were observed, and their median and late quantile in
- * milliseconds.
+ * The boot times of one instance kind, as checkpointed for the next leader: the number of observations, and their median and 95th
+ * percentile in milliseconds.
  */
 data class BootTimeCheckpoint(val type: String, val zone: String, val spot: Boolean, val count: Int, val medianMs: Long, val lateMs: Long)
 
 /** How the boot of a machine is going, compared with others of its kind. */
 enum class BootProgress {
-    /** Nothing is wrong: its capacity is counted on. */
+    /** The boot is within the usual time: the planner counts the machine's capacity. */
     EXPECTED,
 
     /**
-     * Later than nearly all of its kind: its capacity is not counted on, so that another instance may be rented instead. If it
-     * comes up after all, it is used.
+     * The boot takes longer than nearly all others of its kind: the planner does not count the machine's capacity, so that another
+     * instance may be rented instead. If the machine comes up after all, it is used.
      */
     LATE,
 
     /**
-     * It will hardly come up: instances that were rented after it are up, or it has taken many times as long as any. It is to be
-     * released, since it is charged until then.
+     * The machine will probably never come up: several instances that were rented later are up, or the boot exceeds the late
+     * threshold many times over. The machine is to be released, since the cloud charges for it until then.
      */
     ABANDONED,
 }
 
 /**
- * Boot times by instance kind, as observed: two histograms a kind, of the present time window and of the previous one, so that a
- * period of slow boots is forgotten. While there are few observations, the nominal boot time of the type counts too.
+ * The observed boot times by instance kind. Each kind has two histograms, one of the present time window and one of the previous
+ * window, so that a period of slow boots is forgotten. While there are few observations, the nominal boot time of the type counts too.
  *
- * A machine that never comes up is never observed, nor is one that is abandoned too early. If age alone decided, a period in which
- * all boots take four times as long would end without machines. So a machine is abandoned when [OVERTAKEN] that were rented after
- * it have come up, or by age only far beyond the boot time of any.
+ * A machine that never comes up, or that is abandoned too early, adds no observation. If age alone decided, the cluster would end up
+ * without machines in a period in which all boots take four times as long. So a machine is abandoned when at least [MIN_OVERTAKING_BOOTS]
+ * machines rented after it have come up, or by age alone only far beyond the usual boot times.
  *
  * Times are monotonic milliseconds.
  */
@@ -47,52 +47,52 @@
         var windowStartedAt = Long.MIN_VALUE
         val count get() = present.totalCount + previous.totalCount
 
-        /** When the latest [MAX_RENTED_AT] that came up were rented, in the order in which they came up. */
-        val rentedAt = ArrayDeque<Long>()
+        /** The rental times of the latest [MAX_RECENT_RENTAL_TIMES] machines that came up, in the order in which they came up. */
+        val recentRentalTimes = ArrayDeque<Long>()
     }
 
     private val observationsOf = HashMap<InstanceKind, Observations>()
 
-    /** A machine of [kind], rented at [rentedAt], sent its first message at [now]. */
+    /** Records that a machine of [kind], rented at [rentedAt], sent its first message at [now]. */
     fun recordBoot(kind: InstanceKind, rentedAt: Long, now: Long) {
         val observed = observationsOf.getOrPut(kind, ::Observations)
         rotate(observed, now)
         observed.present.recordValue((now - rentedAt).coerceIn(1, MAX_BOOT_MS))
-        observed.rentedAt.addLast(rentedAt)
-        if (observed.rentedAt.size > MAX_RENTED_AT) observed.rentedAt.removeFirst()
+        observed.recentRentalTimes.addLast(rentedAt)
+        if (observed.recentRentalTimes.size > MAX_RECENT_RENTAL_TIMES) observed.recentRentalTimes.removeFirst()
     }
 
     /**
-     * How the boot of a machine of [kind] that was rented at [rentedAt] is going. [nominalMs] is the boot time by its type, and
-     * [slackMs] the delay with which the cloud lists machines.
+     * Assesses the boot of a machine of [kind] that was rented at [rentedAt]. [nominalMs] is the nominal boot time of its type, and
+     * [listLagMs] the delay with which the cloud lists machines.
      */
-    fun assess(kind: InstanceKind, rentedAt: Long, nominalMs: Long, slackMs: Long, now: Long): BootProgress {
+    fun assess(kind: InstanceKind, rentedAt: Long, nominalMs: Long, listLagMs: Long, now: Long): BootProgress {
         val ageMs = now - rentedAt
-        val lateMs = lateMs(kind, nominalMs)
-        val othersRentedAt = observationsOf[kind]?.rentedAt
-        val overtaken = othersRentedAt?.count { it > rentedAt + SAME_REQUEST_MS } ?: 0
-        // While none that was rented with it or after it is up either, the cloud is slow: another would come up no sooner.
-        val cloudSlow = othersRentedAt?.none { it >= rentedAt - SAME_REQUEST_MS } ?: true
-        val expectedMs = if (cloudSlow) lateMs * SLOW_CLOUD_FACTOR else lateMs
-        val hopelessMs = maxOf(lateMs, nominalMs) * ABANDON_FACTOR + slackMs
+        val lateThresholdMs = lateThresholdMs(kind, nominalMs)
+        val otherRentalTimes = observationsOf[kind]?.recentRentalTimes
+        val overtakingBoots = otherRentalTimes?.count { it > rentedAt + SAME_REQUEST_MS } ?: 0
+        // While no machine rented together with this one or later is up, the cloud is slow: a replacement would come up no sooner.
+        val cloudSlow = otherRentalTimes?.none { it >= rentedAt - SAME_REQUEST_MS } ?: true
+        val expectedMs = if (cloudSlow) lateThresholdMs * SLOW_CLOUD_FACTOR else lateThresholdMs
+        val abandonMs = maxOf(lateThresholdMs, nominalMs) * ABANDON_FACTOR + listLagMs
         return when {
             ageMs <= expectedMs -> BootProgress.EXPECTED
-            ageMs > lateMs + slackMs && overtaken >= OVERTAKEN || ageMs > hopelessMs -> BootProgress.ABANDONED
+            ageMs > lateThresholdMs + listLagMs && overtakingBoots >= MIN_OVERTAKING_BOOTS || ageMs > abandonMs -> BootProgress.ABANDONED
             else -> BootProgress.LATE
         }
     }
 
     /**
-     * From this age on, in milliseconds, a boot is late: the late quantile of what was observed, with a margin. The nominal time
-     * counts as long as there are few observations.
+     * The age in milliseconds from which a boot is late: the 95th percentile of the observed boot times with a margin, but no less
+     * than [nominalMs]. While there are few observations, the nominal time with a margin counts too, by a decreasing weight.
      */
-    fun lateMs(kind: InstanceKind, nominalMs: Long): Long {
-        val usualMs = nominalMs * NOMINAL_LATE_FACTOR
-        val observed = observationsOf[kind] ?: return usualMs.roundToLong()
-        val weight = minOf(1.0, observed.count.toDouble() / ENOUGH_OBSERVATIONS)
+    fun lateThresholdMs(kind: InstanceKind, nominalMs: Long): Long {
+        val nominalLateMs = nominalMs * NOMINAL_LATE_FACTOR
+        val observed = observationsOf[kind] ?: return nominalLateMs.roundToLong()
+        val weight = minOf(1.0, observed.count.toDouble() / FULL_WEIGHT_OBSERVATIONS)
         val observedMs = quantile(observed, LATE_PERCENTILE) * OBSERVED_LATE_FACTOR
-        // In a period of slow boots, the first that come up raise the bound for the others before they exceed it.
-        return maxOf(usualMs * (1 - weight), observedMs).roundToLong().coerceAtLeast(nominalMs)
+        // In a period of slow boots, the first machines that come up raise the threshold before the other machines exceed it.
+        return maxOf(nominalLateMs * (1 - weight), observedMs).roundToLong().coerceAtLeast(nominalMs)
     }
 
     private fun quantile(observed: Observations, percentile: Double): Long =
@@ -101,7 +101,7 @@
             .also { it.add(observed.previous) }
             .getValueAtPercentile(percentile)
 
-    /** Starts the next window if the present one is over. */
+    /** Starts the next window if the present window is over. */
     private fun rotate(observed: Observations, now: Long) {
         if (observed.windowStartedAt == Long.MIN_VALUE) observed.windowStartedAt = now
         if (now - observed.windowStartedAt < windowMs) return
@@ -110,24 +110,24 @@
         observed.windowStartedAt = now
     }
 
-    /** What the next leader gets: the kinds with most observations; [namesOf] gives the names of type and zone. */
+    /** The checkpoint for the next leader: the kinds with most observations. [namesOf] gives the names of type and zone of a kind. */
     fun checkpoint(namesOf: (InstanceKind) -> Pair<String, String>): List<BootTimeCheckpoint> =
         observationsOf.entries
             .sortedByDescending { it.value.count }
-            .take(MAX_CHECKPOINTS)
+            .take(MAX_CHECKPOINT_KINDS)
             .map { (kind, observed) ->
                 val (type, zone) = namesOf(kind)
                 BootTimeCheckpoint(
                     type,
                     zone,
                     kind.spot,
-                    observed.count.coerceAtMost(ENOUGH_OBSERVATIONS.toLong()).toInt(),
+                    observed.count.coerceAtMost(FULL_WEIGHT_OBSERVATIONS.toLong()).toInt(),
                     medianMs = quantile(observed, MEDIAN_PERCENTILE),
                     lateMs = quantile(observed, LATE_PERCENTILE),
                 )
             }
 
-    /** Restores what an earlier leader observed, as far as a median and a late quantile describe it. */
+    /** Restores the observations of an earlier leader, approximated by their median and 95th percentile. */
     fun restore(kind: InstanceKind, checkpoint: BootTimeCheckpoint, now: Long) {
         val observed = observationsOf.getOrPut(kind, ::Observations)
         rotate(observed, now)
@@ -138,30 +138,43 @@
     }
 
     companion object {
-        /** So many machines that were rented later have to be up before one is abandoned. */
-        const val OVERTAKEN = 3
+        /** The number of machines rented later that have to be up before a late machine is abandoned. */
+        const val MIN_OVERTAKING_BOOTS = 3
 
-        /** An hour; with two significant digits, some kilobytes a kind. */
+        /** The longest boot time that a histogram records, an hour. */
         private const val MAX_BOOT_MS = 3_600_000L
 
+        /** Two significant digits keep a histogram at some kilobytes. */
         private fun histogram() = Histogram(MAX_BOOT_MS, 2)
 
         private const val MEDIAN_PERCENTILE = 50.0
         private const val LATE_PERCENTILE = 95.0
+
+        /** The margin on the 95th percentile of the observed boot times. */
         private const val OBSERVED_LATE_FACTOR = 1.25
 
-        /** Without observations: PROTOCOL says that boot times are usually up to 1.5 times the nominal one. */
+        /** The margin on the nominal boot time: the protocol specifies boot times of usually up to 1.5 times the nominal one. */
         private const val NOMINAL_LATE_FACTOR = 1.8
-        private const val ENOUGH_OBSERVATIONS = 20
+
+        /** With this number of observations, the nominal boot time no longer counts. */
+        private const val FULL_WEIGHT_OBSERVATIONS = 20
+
+        /** A machine is abandoned by age alone at this multiple of the late threshold. */
         private const val ABANDON_FACTOR = 6
+
+        /** While the cloud is slow, a boot is late only at this multiple of the late threshold. */
         private const val SLOW_CLOUD_FACTOR = 2
-        private const val MAX_CHECKPOINTS = 12
-        private const val MAX_RENTED_AT = 64
 
-        /** A restored checkpoint counts one in so many of its observations as late. */
+        /** The number of instance kinds in a checkpoint. */
+        private const val MAX_CHECKPOINT_KINDS = 12
+
+        /** The number of rental times kept for each instance kind. */
+        private const val MAX_RECENT_RENTAL_TIMES = 64
+
+        /** One in this many observations of a restored checkpoint is recorded at the 95th percentile, the others at the median. */
         private const val RESTORED_LATE_DIVISOR = 10
 
-        /** Instances that were rented within this time may belong to one request. */
+        /** Instances rented within this time of each other may belong to one request. */
         private const val SAME_REQUEST_MS = 1_000L
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/capacity/Bin.kt
+++ b/src/main/kotlin/org/honeyjunction/core/capacity/Bin.kt
@@ -6,66 +6,70 @@
 import org.honeyjunction.core.placement.UpcomingCapacity
 import org.honeyjunction.core.rules.RuleTable
 
-/** One kind of instance that the cloud rents, by dense indices. */
+/** An instance offer of the cloud: the dense indices of instance type and zone, and whether it is a spot instance. */
 data class Offer(val type: Int, val zone: Int, val spot: Boolean)
 
 /**
- * Capacity that is there, or will be: a machine that is up or booting, or a requested instance. The planner fills it with tasks.
- * [machine] is the machine's index or [NOT_A_MACHINE], [leaving] what its tasks free when they end.
+ * A bin for bin packing: a machine that is up or booting, or a requested or planned instance. [machine] is the index of the machine,
+ * or [NOT_A_MACHINE]; [free] is the free capacity, [empty] says that no task runs there, and [upcoming] is the capacity that running
+ * tasks will free when they end.
  */
 class Bin(
     val machine: Int,
     val offer: Offer,
     var free: Resources,
     val empty: Boolean,
-    leaving: List<UpcomingCapacity> = emptyList(),
+    upcoming: List<UpcomingCapacity> = emptyList(),
     private var scene: RuleTable.Scene = RuleTable.Scene.NOWHERE,
-    /** It does not report: work that can wait counts on its recovery, production does not. */
+    /** Whether the machine has missed its heartbeats: work that can wait counts on its recovery, production work does not. */
     private val unresponsive: Boolean = false,
 ) {
-    private val leaving = leaving.sortedBy { it.inS }.toMutableList()
+    private val upcoming = upcoming.sortedBy { it.inS }.toMutableList()
 
-    /** Whether the plan uses it. */
+    /** Whether the plan uses this bin. */
     var needed = false
 
-    /** Whether a task like [row] may be started here, beside the tasks that are. */
+    /** Whether a task like [row] may be started here, next to the tasks that already are. */
     fun permits(row: TaskRow, rules: ScaleOutPolicy?): Boolean =
         !(unresponsive && row.priority == Priority.PRODUCTION) &&
             (rules == null || row.shape < 0 || rules.table.barred(row.shape, scene, row.mates) == null)
 
-    /** Takes capacity for a task like [row], [fromS] seconds from now. */
+    /** Takes the need of one task like [row], as the other overload does, and adds the task to what placement rules see. */
     fun take(row: TaskRow, runS: Double?, fromS: Double = 0.0) {
         take(row.need, runS, fromS)
         scene = scene.with(row.shape)
     }
 
-    /** Takes [need], [fromS] seconds from now, for a task that runs for [runS] seconds and then frees it; null: without end. */
+    /**
+     * Takes [need], [fromS] seconds from now, for a task that frees it after running for [runS] seconds; null if the task runs without
+     * end.
+     */
     fun take(need: Resources, runS: Double?, fromS: Double = 0.0) {
         free -= need
         needed = true
-        if (runS != null) leaves(need, fromS + runS)
+        if (runS != null) addUpcoming(need, fromS + runS)
     }
 
-    /** [need] is freed [atS] seconds from now. */
-    fun leaves(need: Resources, atS: Double) {
-        val later = leaving.indexOfFirst { it.inS > atS }
-        val position = if (later < 0) leaving.size else later
-        leaving.add(position, UpcomingCapacity(atS, need))
+    /** Adds [need] to the upcoming capacity, as freed [atS] seconds from now. */
+    fun addUpcoming(need: Resources, atS: Double) {
+        val later = upcoming.indexOfFirst { it.inS > atS }
+        val position = if (later < 0) upcoming.size else later
+        upcoming.add(position, UpcomingCapacity(atS, need))
     }
 
-    /** In how many seconds, at most [withinS], [need] fits once running tasks have ended; null if not within that time. */
+    /** The seconds until enough running tasks have ended for [need] to fit; null if that takes more than [withinS] seconds. */
     fun freeFor(need: Resources, withinS: Double): Double? {
         var available = free
-        for (upcoming in leaving) {
-            if (upcoming.inS > withinS) return null
-            available += upcoming.need
-            if (need.fitsIn(available)) return upcoming.inS
+        for (freed in upcoming) {
+            if (freed.inS > withinS) return null
+            available += freed.need
+            if (need.fitsIn(available)) return freed.inS
         }
         return null
     }
 
     companion object {
-        /** The [machine] of an instance that was requested, or is planned, and has no index yet. */
+        /** The value of [machine] for a requested or planned instance, which has no index yet. */
         const val NOT_A_MACHINE = -1
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/capacity/CapacityPlanner.kt
+++ b/src/main/kotlin/org/honeyjunction/core/capacity/CapacityPlanner.kt
@@ -6,81 +6,91 @@
 import org.honeyjunction.core.rules.RuleTable
 
 /**
- * Decides what to rent and which empty machines to keep, by bin packing: first fit, the highest priority first, the cheapest offer
- * first. Tasks that are alike are packed together, so that the cost of a plan grows with the jobs and machines, not with the tasks.
+ * Decides which instances to rent and which empty machines to keep, by first-fit bin packing: the highest priority first, the
+ * cheapest offer first. Identical tasks are packed together, so that the cost of a plan grows with the number of jobs and machines,
+ * not with the number of tasks.
  *
- * [refused]: the cloud does not offer it now.
+ * [refused] says whether instances of an offer cannot be rented at present.
  */
 class CapacityPlanner(
     private val types: Map<Int, MachineType>,
     private val rules: ScaleOutPolicy? = null,
     private val refused: (Offer) -> Boolean,
 ) {
-    /** A plan in the making. */
+    /** The mutable state while a plan is computed. */
     private class Draft(bins: List<Bin>, machinesByZone: Map<Int, Int>) {
-        /** Demands for which there is no free capacity, and those for which none gets free in time. */
-        val noneFree = ExhaustedDemands()
-        val noneInTime = ExhaustedDemands()
+        /** Demands for which there is no free capacity. */
+        val withoutFreeCapacity = ExhaustedDemands()
+
+        /** Demands for which no capacity is freed in time. */
+        val withoutUpcomingCapacity = ExhaustedDemands()
         val bins = ArrayList(bins)
         val machinesByZone = HashMap(machinesByZone)
-        val rent = LinkedHashMap<Offer, Int>()
-        val held = HashMap<Int, Int>()
-        val reserved = HashSet<Int>()
+        val instancesToRent = LinkedHashMap<Offer, Int>()
+        val reservedForJob = HashMap<Int, Int>()
+        val reservedForArrivals = HashSet<Int>()
 
-        /** Machines that this plan uses for pending work of the lowest priority: a reservation would keep it from there for ever. */
+        /** Machines planned for pending work of the lowest priority: reserving such a machine would keep this work waiting forever. */
         val usedByLowest = HashSet<Int>()
+
+        /** For the gang being planned: the bins of its tasks, and in how many seconds each task ends. */
         private val freedAfterGang = ArrayList<Pair<Bin, Double>>()
 
         /**
-         * Takes capacity for a task of [wanted]. When the task has run, others may use it, but not the rest of its own gang: the
-         * tasks of a gang run at the same time. One that counted on what another of them frees would never start, and nothing
-         * would be rented for it.
+         * Takes capacity for a task of [demand]. After the task ends, other tasks may use its capacity, except tasks of its own gang:
+         * the tasks of a gang run at the same time. A gang task planned on capacity that another task of the same gang frees would
+         * never start, and no instance would be rented for it.
          */
-        fun take(bin: Bin, wanted: Wanted, runS: Double?, fromS: Double = 0.0) {
-            val gang = wanted.sample.gangOf > 0
-            bin.take(wanted.sample, runS.takeUnless { gang }, fromS)
+        fun take(bin: Bin, demand: Wanted, runS: Double?, fromS: Double = 0.0) {
+            val gang = demand.sample.gangOf > 0
+            bin.take(demand.sample, runS.takeUnless { gang }, fromS)
             if (gang && runS != null) freedAfterGang += bin to fromS + runS
         }
 
-        /** [wanted] has got all that it gets. */
-        fun complete(wanted: Wanted) {
-            freedAfterGang.forEach { (bin, atS) -> bin.leaves(wanted.sample.need, atS) }
+        /** Ends the planning of [demand]: the capacity that its gang tasks will free becomes available to later demands. */
+        fun complete(demand: Wanted) {
+            freedAfterGang.forEach { (bin, atS) -> bin.addUpcoming(demand.sample.need, atS) }
             freedAfterGang.clear()
         }
 
+        /** The finished plan; [unmet] are samples of the demands without capacity. */
         fun plan(unmet: List<TaskRow>): CapacityPlan {
-            val keep = bins.filter { it.needed && it.machine >= 0 }.mapTo(HashSet()) { it.machine }
-            return CapacityPlan(rent, keep, unmet, held, reserved)
+            val machinesToKeep = bins.filter { it.needed && it.machine >= 0 }.mapTo(HashSet()) { it.machine }
+            return CapacityPlan(instancesToRent, machinesToKeep, unmet, reservedForJob, reservedForArrivals)
         }
     }
 
-    fun plan(waiting: List<Wanted>, expected: List<Expected>, bins: List<Bin>, machinesByZone: Map<Int, Int>): CapacityPlan {
+    /**
+     * Plans the capacity for the [waiting] and the [expected] tasks on [bins], which it changes. [machinesByZone] counts the present
+     * machines of each zone, for balancing.
+     */
+    fun plan(waiting: List<Wanted>, expected: List<ExpectedDemand>, bins: List<Bin>, machinesByZone: Map<Int, Int>): CapacityPlan {
         val draft = Draft(bins, machinesByZone)
         val unmet = ArrayList<TaskRow>()
-        // Within a priority, gangs go first, since they need machines as a whole: other tasks would fragment them.
+        // Within a priority, gangs go first: they need whole machines, which other tasks would fragment.
         val order = compareByDescending<Wanted> { it.sample.priority }.thenByDescending { it.sample.gangOf > 0 }
-        for (wanted in waiting.sortedWith(order)) {
-            val zone = if (wanted.sample.oneZone) bestZone(wanted, draft) else null
-            val notFree = useFree(wanted, zone, draft)
-            val notInTime = useUpcoming(wanted, notFree, zone, draft)
-            if (rent(wanted, notInTime, zone, draft) > 0) unmet += wanted.sample
-            draft.complete(wanted)
+        for (demand in waiting.sortedWith(order)) {
+            val zone = if (demand.sample.oneZone) bestZone(demand, draft) else null
+            val notFree = useFree(demand, zone, draft)
+            val notInTime = useUpcoming(demand, notFree, zone, draft)
+            if (rent(demand, notInTime, zone, draft) > 0) unmet += demand.sample
+            draft.complete(demand)
         }
         for (arrival in expected) {
-            val notFree = useFree(arrival.wanted, null, draft, reserve = arrival.scaleOutTooSlow)
-            if (arrival.atOnce) rent(arrival.wanted, notFree, null, draft)
-            draft.complete(arrival.wanted)
+            val notFree = useFree(arrival.demand, null, draft, reserve = arrival.scaleOutTooSlow)
+            if (arrival.hasStartObjective) rent(arrival.demand, notFree, null, draft)
+            draft.complete(arrival.demand)
         }
         return draft.plan(unmet)
     }
 
-    /** For a job bound to one zone: the zone with free capacity for most of it; among equals, one where the rest can be rented. */
-    private fun bestZone(wanted: Wanted, draft: Draft): Int? {
-        val sample = wanted.sample
+    /** The zone for a job bound to one zone: where most of its tasks fit; among equals, where instances can be rented for the rest. */
+    private fun bestZone(demand: Wanted, draft: Draft): Int? {
+        val sample = demand.sample
         val fitsIn = HashMap<Int, Int>()
         for (bin in draft.bins) {
             if (!allows(sample, bin.offer, null)) continue
-            val fits = sample.need.countIn(bin.free).coerceIn(0, wanted.count)
+            val fits = sample.need.countIn(bin.free).coerceIn(0, demand.count)
             if (fits > 0) fitsIn.merge(bin.offer.zone, fits, Int::plus)
         }
         return types.values
@@ -88,17 +98,20 @@
             .distinct()
             .filter { (sample.zones shr it) and 1L != 0L }
             .maxWithOrNull(
-                compareBy<Int> { fitsIn.getOrDefault(it, 0).coerceAtMost(wanted.count) }
+                compareBy<Int> { fitsIn.getOrDefault(it, 0).coerceAtMost(demand.count) }
                     .thenBy { zone -> if (offers(sample, zone).any()) 1 else 0 }
                     .thenByDescending { draft.machinesByZone.getOrDefault(it, 0) },
             )
     }
 
-    /** Uses free capacity, of partly used machines first, so that the empty ones can be returned. Returns how many tasks are left. */
-    private fun useFree(wanted: Wanted, zone: Int?, draft: Draft, reserve: Boolean = false): Int {
-        val sample = wanted.sample
-        if (wanted.count <= 0 || draft.noneFree.covers(sample, zone)) return wanted.count
-        var left = wanted.count
+    /**
+     * Places tasks on free capacity, on partly used machines first, so that empty machines can be released. If [reserve], reserves the
+     * machines used, except those planned for work of the lowest priority. Returns the number of tasks left.
+     */
+    private fun useFree(demand: Wanted, zone: Int?, draft: Draft, reserve: Boolean = false): Int {
+        val sample = demand.sample
+        if (demand.count <= 0 || draft.withoutFreeCapacity.covers(sample, zone)) return demand.count
+        var left = demand.count
         val order =
             compareBy<Bin> { it.empty && !it.needed }
                 .thenBy { sample.spot != it.offer.spot }
@@ -111,29 +124,29 @@
             if (left == 0) break
             val here = minOf(left, sample.need.countIn(bin.free))
             noteUse(bin, sample, draft, reserve)
-            left -= take(bin, wanted, here, draft)
+            left -= take(bin, demand, here, draft)
         }
-        if (left > 0) draft.noneFree.note(sample, zone)
+        if (left > 0) draft.withoutFreeCapacity.record(sample, zone)
         return left
     }
 
     private fun noteUse(bin: Bin, sample: TaskRow, draft: Draft, reserve: Boolean) {
         val unusedMachine = bin.empty && !bin.needed && bin.machine >= 0
-        if (unusedMachine && sample.gangOf > 0) draft.held[bin.machine] = sample.job
+        if (unusedMachine && sample.gangOf > 0) draft.reservedForJob[bin.machine] = sample.job
         if (!reserve && sample.priority == Priority.LOW) draft.usedByLowest += bin.machine
-        if (reserve && bin.machine >= 0 && bin.machine !in draft.usedByLowest) draft.reserved += bin.machine
+        if (reserve && bin.machine >= 0 && bin.machine !in draft.usedByLowest) draft.reservedForArrivals += bin.machine
     }
 
     /**
-     * Uses capacity that gets free before an instance rented now could have booted and fetched the image, since renting would be
-     * later. Within that time several short tasks may use the same capacity one after the other. Returns how many tasks are left.
+     * Places [count] tasks on capacity that is freed before an instance rented now could have booted and fetched the image. Within
+     * that time, several short tasks may use the same capacity one after the other. Returns the number of tasks left.
      */
-    private fun useUpcoming(wanted: Wanted, count: Int, zone: Int?, draft: Draft): Int {
+    private fun useUpcoming(demand: Wanted, count: Int, zone: Int?, draft: Draft): Int {
         if (count <= 0 || types.isEmpty()) return count
-        val sample = wanted.sample
+        val sample = demand.sample
         var left = count
         val longestS = types.values.maxOf { readyS(it, sample) }
-        if (draft.noneInTime.covers(sample, zone, longestS)) return count
+        if (draft.withoutUpcomingCapacity.covers(sample, zone, longestS)) return count
         for (bin in draft.bins) {
             if (left <= 0) break
             val type = types[bin.offer.type] ?: continue
@@ -141,25 +154,25 @@
             val withinS = readyS(type, sample)
             while (left > 0 && bin.permits(sample, rules)) {
                 val atS = bin.freeFor(sample.need, withinS) ?: break
-                draft.take(bin, wanted, wanted.runS?.coerceAtLeast(MIN_RUN_S), atS)
+                draft.take(bin, demand, demand.runS?.coerceAtLeast(MIN_RUN_S), atS)
                 left--
             }
         }
-        if (left > 0) draft.noneInTime.note(sample, zone, longestS)
+        if (left > 0) draft.withoutUpcomingCapacity.record(sample, zone, longestS)
         return left
     }
 
-    /** The time that a new instance of [type] takes to boot and to fetch the image of [sample]. */
+    /** The seconds that a new instance of [type] takes to boot and to fetch the image of [sample]. */
     private fun readyS(type: MachineType, sample: TaskRow): Double = type.bootS + sample.imageGb / type.fetchGbPerS
 
-    /** Rents instances for [count] tasks. Returns for how many of them there is no offer. */
-    private fun rent(wanted: Wanted, count: Int, zone: Int?, draft: Draft): Int {
-        val sample = wanted.sample
+    /** Plans to rent instances for [count] tasks. Returns the number of tasks for which there is no offer. */
+    private fun rent(demand: Wanted, count: Int, zone: Int?, draft: Draft): Int {
+        val sample = demand.sample
         var left = count
         while (left > 0) {
             val offer = offers(sample, zone).minWithOrNull(cheapestFirst(sample, draft)) ?: return left
             val bin = addInstance(offer, draft)
-            val here = take(bin, wanted, minOf(left, capacityOf(offer, sample)), draft)
+            val here = take(bin, demand, minOf(left, capacityOf(offer, sample)), draft)
             if (here == 0) return left
             left -= here
         }
@@ -167,42 +180,43 @@
     }
 
     /**
-     * By the price per task; among equals, the offer that is rented already: few large requests rather than many small ones, since
-     * the cloud limits its request rate. But what must be spread over zones is rented in turn.
+     * Orders offers by the price per task. Among equals, prefers an offer that this plan already rents, since few large requests
+     * exceed the cloud's request rate limit less easily than many small ones. Demands that must be spread over zones instead prefer
+     * the zone with the fewest machines.
      */
     private fun cheapestFirst(sample: TaskRow, draft: Draft): Comparator<Offer> =
         compareBy<Offer> { types.getValue(it.type).price(it.spot) / capacityOf(it, sample) }
             .thenByDescending { if (sample.zoneRoom == null) growingRequest(it, draft) else 0 }
             .thenBy { draft.machinesByZone.getOrDefault(it.zone, 0) }
 
-    /** The instances of [offer] in this plan, or 0 if they make a large request already. */
+    /** The number of instances of [offer] to rent in this plan, or 0 if that number has reached [LARGE_REQUEST]. */
     private fun growingRequest(offer: Offer, draft: Draft): Int {
-        val count = draft.rent.getOrDefault(offer, 0)
+        val count = draft.instancesToRent.getOrDefault(offer, 0)
         return if (count < LARGE_REQUEST) count else 0
     }
 
     private fun addInstance(offer: Offer, draft: Draft): Bin {
-        draft.rent.merge(offer, 1, Int::plus)
+        draft.instancesToRent.merge(offer, 1, Int::plus)
         draft.machinesByZone.merge(offer.zone, 1, Int::plus)
-        val scene = rules?.empty?.invoke(offer) ?: RuleTable.Scene.NOWHERE
+        val scene = rules?.emptyInstance?.invoke(offer) ?: RuleTable.Scene.NOWHERE
         val bin = Bin(Bin.NOT_A_MACHINE, offer, types.getValue(offer.type).size, true, scene = scene)
         draft.bins += bin
-        draft.noneFree.clear()
-        draft.noneInTime.clear()
+        draft.withoutFreeCapacity.clear()
+        draft.withoutUpcomingCapacity.clear()
         return bin
     }
 
-    /** Takes capacity for at most [maxCount] tasks, as long as rules permit one more beside the others. Returns how many. */
-    private fun take(bin: Bin, wanted: Wanted, maxCount: Int, draft: Draft): Int {
+    /** Takes capacity for up to [maxCount] tasks, as long as rules permit one more on [bin]. Returns the number of tasks placed. */
+    private fun take(bin: Bin, demand: Wanted, maxCount: Int, draft: Draft): Int {
         var taken = 0
-        while (taken < maxCount && bin.permits(wanted.sample, rules)) {
-            draft.take(bin, wanted, wanted.runS)
+        while (taken < maxCount && bin.permits(demand.sample, rules)) {
+            draft.take(bin, demand, demand.runS)
             taken++
         }
         return taken
     }
 
-    /** What may be rented for a task like [sample]. */
+    /** The offers that may be rented for a task like [sample], in [zone] only unless it is null. */
     private fun offers(sample: TaskRow, zone: Int?): Sequence<Offer> =
         types.entries
             .asSequence()
@@ -215,7 +229,7 @@
                     (rules == null || rules.mayRent(sample.shape, offer))
             }
 
-    /** How many tasks like [sample] fit on an instance of [offer]. */
+    /** The number of tasks like [sample] that fit on an instance of [offer]. */
     private fun capacityOf(offer: Offer, sample: TaskRow) =
         sample.need.countIn(types.getValue(offer.type).size).coerceIn(1, MAX_TASKS_PER_INSTANCE)
 
@@ -226,13 +240,13 @@
             (zone == null || zone == offer.zone)
 
     private companion object {
-        /** With estimates next to zero, the capacity of one task would do for all. */
+        /** The shortest run time assumed: with estimates close to zero, any number of tasks would share the capacity of one. */
         const val MIN_RUN_S = 5.0
 
-        /** Instances in a request that is not made larger for the sake of fewer requests. */
+        /** From this number of instances on, a request is not enlarged in order to save requests. */
         const val LARGE_REQUEST = 40
 
-        /** For tasks that need next to nothing. */
+        /** A bound for tasks that need hardly any resources. */
         const val MAX_TASKS_PER_INSTANCE = 1000
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/capacity/ExhaustedDemands.kt
+++ b/src/main/kotlin/org/honeyjunction/core/capacity/ExhaustedDemands.kt
@@ -2,9 +2,9 @@
 
 import org.honeyjunction.core.placement.TaskRow
 
-/** Demands for which no capacity was found: nor is there any for a larger task that is restricted to the same places. */
+/** Demands for which no capacity was found, so that the search can be skipped for larger tasks with the same or more restrictions. */
 internal class ExhaustedDemands {
-    /** In [zone], or in any if null, no capacity was found [withinS] seconds. */
+    /** No capacity for [sample] was found within [withinS] seconds in [zone], or in any zone if null. */
     private class Demand(val sample: TaskRow, val zone: Int?, val withinS: Double) {
         fun covers(sample: TaskRow, zone: Int?, withinS: Double): Boolean =
             (this.zone == null || this.zone == zone) &&
@@ -18,11 +18,14 @@
 
     private val demands = ArrayList<Demand>()
 
-    fun note(sample: TaskRow, zone: Int?, withinS: Double = 0.0) {
+    /** Records that no capacity for [sample] was found within [withinS] seconds in [zone], or in any zone if null. */
+    fun record(sample: TaskRow, zone: Int?, withinS: Double = 0.0) {
         demands += Demand(sample, zone, withinS)
     }
 
+    /** Whether a recorded demand implies that there is no capacity for [sample] either. */
     fun covers(sample: TaskRow, zone: Int?, withinS: Double = 0.0): Boolean = demands.any { it.covers(sample, zone, withinS) }
 
+    /** Forgets all recorded demands; needed whenever capacity is added. */
     fun clear() = demands.clear()
 }
--- a/src/main/kotlin/org/honeyjunction/core/capacity/Forecast.kt
+++ b/src/main/kotlin/org/honeyjunction/core/capacity/Forecast.kt
@@ -4,61 +4,62 @@
 import kotlin.math.ceil
 
 /**
- * Tasks that are expected to arrive while an instance boots. If they are to start [atOnce], capacity must be ready for them; for
- * the others machines are kept, but none is rented before they arrive. [scaleOutTooSlow]: an instance that is rented when they
- * arrive would be too late for them, so that capacity for them is not given to work of the lowest priority.
+ * Tasks that are expected to arrive while an instance boots. If [hasStartObjective], their class has a start-time objective, and
+ * instances are rented before the tasks arrive; for other classes idle machines are kept, but no instance is rented in advance. If
+ * [scaleOutTooSlow], an instance rented on arrival would miss the objective, so that machines are reserved from work of the lowest
+ * priority.
  */
-class Expected(val wanted: Wanted, val atOnce: Boolean, val scaleOutTooSlow: Boolean = false)
+class ExpectedDemand(val demand: Wanted, val hasStartObjective: Boolean, val scaleOutTooSlow: Boolean = false)
 
 /**
  * Forecasts the arrivals of each job class in the time that an instance takes to boot, from those in the last [windowMs]. Times
  * are monotonic milliseconds.
  */
 class Forecast(private val windowMs: Long) {
-    private class Arrival(val at: Long, val wanted: Wanted)
+    private class Arrival(val at: Long, val demand: Wanted)
 
     private val arrivalsOf = HashMap<Int, ArrayDeque<Arrival>>()
 
-    /** Tasks like [wanted], of [jobClass], arrived at [now]. */
-    fun note(jobClass: Int, wanted: Wanted, now: Long) {
-        arrivalsOf.getOrPut(jobClass, ::ArrayDeque).addLast(Arrival(now, wanted))
+    /** Records that the tasks of [demand], of [jobClass], arrived at [now]. */
+    fun recordArrival(jobClass: Int, demand: Wanted, now: Long) {
+        arrivalsOf.getOrPut(jobClass, ::ArrayDeque).addLast(Arrival(now, demand))
     }
 
     /**
-     * The tasks to expect within [horizonMs], times [factor], the highest priority first. [atOnce] and [scaleOutTooSlow] say for
-     * a job class what [Expected] says.
+     * The tasks expected within [horizonMs], multiplied by [factor], the highest priority first. [hasStartObjective] and [scaleOutTooSlow]
+     * give the properties of [ExpectedDemand] with the same names for a job class.
      */
     fun expected(
         now: Long,
         horizonMs: Long,
         factor: Double,
-        atOnce: (Int) -> Boolean,
+        hasStartObjective: (Int) -> Boolean,
         scaleOutTooSlow: (Int, TaskRow) -> Boolean = { _, _ -> false },
-    ): List<Expected> =
+    ): List<ExpectedDemand> =
         arrivalsOf.entries
             .mapNotNull { (jobClass, arrivals) ->
                 while (arrivals.isNotEmpty() && arrivals.first().at < now - windowMs) arrivals.removeFirst()
-                val latest = arrivals.lastOrNull()?.wanted ?: return@mapNotNull null
+                val latest = arrivals.lastOrNull()?.demand ?: return@mapNotNull null
                 val count = ceil(usualCount(arrivals, now) * factor * horizonMs / windowMs).toInt()
-                val wanted = Wanted(latest.sample, count, latest.runS)
-                Expected(wanted, atOnce(jobClass), scaleOutTooSlow(jobClass, latest.sample))
-            }.sortedByDescending { it.wanted.sample.priority }
+                val demand = Wanted(latest.sample, count, latest.runS)
+                ExpectedDemand(demand, hasStartObjective(jobClass), scaleOutTooSlow(jobClass, latest.sample))
+            }.sortedByDescending { it.demand.sample.priority }
 
     /**
-     * Tasks that usually arrive in the window, of which the busiest part is left out: a burst, as after a start, says little of
-     * what follows. A history shorter than the window is not extrapolated.
+     * The number of tasks that usually arrive in one window. The busiest part of the window is left out, since a burst, as after the
+     * start of the cluster, does not predict later arrivals. A history shorter than the window is not extrapolated.
      */
     private fun usualCount(arrivals: ArrayDeque<Arrival>, now: Long): Double {
-        val parts = IntArray(PARTS)
+        val countByPart = IntArray(PARTS)
         for (arrival in arrivals) {
             val part = ((now - arrival.at) * PARTS / windowMs).toInt().coerceIn(0, PARTS - 1)
-            parts[part] += arrival.wanted.count
+            countByPart[part] += arrival.demand.count
         }
-        return (parts.sum() - parts.max()) * PARTS.toDouble() / (PARTS - 1)
+        return (countByPart.sum() - countByPart.max()) * PARTS.toDouble() / (PARTS - 1)
     }
 
     private companion object {
-        /** Parts of the window. */
+        /** The number of equal parts that the window is divided into. */
         const val PARTS = 6
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/autoscaling/Autoscaler.kt
@@ -5,7 +5,7 @@
 import org.honeyjunction.core.capacity.Bin
 import org.honeyjunction.core.capacity.CapacityPlan
 import org.honeyjunction.core.capacity.CapacityPlanner
-import org.honeyjunction.core.capacity.Expected
+import org.honeyjunction.core.capacity.ExpectedDemand
 import org.honeyjunction.core.capacity.Forecast
 import org.honeyjunction.core.capacity.Offer
 import org.honeyjunction.core.capacity.ScaleOutPolicy
@@ -24,49 +24,54 @@
 import org.honeyjunction.core.placement.TaskRow
 import org.honeyjunction.core.rules.RuleTable
 
-/** Scales the cluster out and in: plans the capacity, rents instances, and returns those that are idle or lost. */
+/** Scales the cluster out and in: plans the capacity, rents instances, and releases instances that are idle or lost. */
 class Autoscaler(
     private val state: ClusterState,
     private val queue: PendingQueue,
     private val failureDetector: FailureDetector,
     private val zones: ZoneHealthMonitor,
-    boots: BootTimes,
+    bootTimes: BootTimes,
     private val startedAt: Long,
     listLagMs: Long,
 ) {
-    private val instances = InstanceMonitor(state, failureDetector, boots, startedAt, listLagMs)
+    private val instances = InstanceMonitor(state, failureDetector, bootTimes, startedAt, listLagMs)
     private val scaleOut = ScaleOutRequests(state)
     private val forecast = Forecast(state.tuning.forecastMs)
     private val forecasted = HashSet<Int>()
 
-    /** The latest plan, with the tasks that could neither be placed nor get an instance; null before the first. */
+    /** The latest capacity plan, including the tasks without capacity; null before the first planning period. */
     var latestPlan: CapacityPlan? = null
         private set
 
-    /** Expires leases, and releases machines that are dead, never come up, or are drained. */
+    /** Expires worker leases, and releases machines that are dead, have failed to boot, or are drained. */
     fun watch(now: Long) = instances.step(now)
 
+    /** Handles the cloud's answer to the release of [machines]; if it is not [confirmed], its outcome is unknown. */
     fun released(machines: List<String>, confirmed: Boolean, now: Long) = instances.released(machines, confirmed, now)
 
+    /** Reconciles the leader's state with the cloud's list of [machines]. */
     fun listed(machines: List<ListedMachine>, now: Long) = instances.listed(machines, now)
 
+    /** Adds [machines], which the cloud has rented for the scale-out [request]. */
     fun rented(request: String, machines: List<String>, now: Long) = scaleOut.confirmed(request, machines, now)
 
+    /** Handles the cloud's refusal of the scale-out [request]. */
     fun rentalRefused(request: String, now: Long) = scaleOut.refused(request, now)
 
+    /** Schedules a retry of the scale-out [request], whose outcome is unknown. */
     fun rentalUnknown(request: String, now: Long) = scaleOut.outcomeUnknown(request, now)
 
-    /** Counts the arrival of [job] for the forecast, once. */
+    /** Records the arrival of [job] in the forecast; repeated calls for the same job have no effect. */
     fun noteArrival(job: Job, now: Long) {
         if (!forecasted.add(job.index)) return
-        forecast.note(
+        forecast.recordArrival(
             state.cluster.classes.index(job.spec.jobClass),
             Wanted(queue.rows.template(job), job.spec.tasks, job.expectedRunS),
             job.createdAt.coerceAtMost(now),
         )
     }
 
-    /** Plans the capacity anew, and carries the plan out. */
+    /** Computes a new capacity plan and carries it out. */
     fun plan(now: Long) {
         if (state.cluster.types.isEmpty() || now >= state.leaseValidUntil) return
         scaleOut.retry(now)
@@ -80,24 +85,25 @@
         val plan = planner.plan(queue.demands(now) { !it.failing }, expected(now), bins, machinesByZone)
         latestPlan = plan
         reserve(plan, now)
-        plan.rent.forEach { (offer, count) -> scaleOut.request(offer, count.coerceAtMost(MAX_RENT), now) }
+        plan.instancesToRent.forEach { (offer, count) -> scaleOut.request(offer, count.coerceAtMost(MAX_RENT), now) }
         scaleIn(plan, now)
     }
 
     private fun reserve(plan: CapacityPlan, now: Long) {
         val until = now + RESERVATION_PERIODS * state.tuning.capacityMs
-        // Idle work may use spare capacity, but not what others are expected to need before an instance could be rented.
-        plan.reserved
+        // Work of the lowest priority may use spare capacity, except the capacity that expected tasks will need before a newly rented
+        // instance could be up.
+        plan.reservedForArrivals
             .mapNotNull(state::machineAt)
             .filter { it.floorAt(now) < Priority.NORMAL }
             .forEach { it.reserveForPriority(Priority.NORMAL, until) }
-        plan.held.forEach { (machine, job) -> state.machineAt(machine)?.reserveFor(job, until) }
+        plan.reservedForJob.forEach { (machine, job) -> state.machineAt(machine)?.reserveFor(job, until) }
     }
 
     private fun scaleIn(plan: CapacityPlan, now: Long) {
         val settled = now - startedAt > state.tuning.idleMs / SETTLED_DIVISOR
         for (machine in state.machines) {
-            if (machine.index in plan.keep) continue
+            if (machine.index in plan.machinesToKeep) continue
             val idle =
                 machine.usable &&
                     machine.placements.isEmpty() &&
@@ -109,12 +115,15 @@
         }
     }
 
-    /** A machine rented in a partitioned zone could not report either. If all zones are partitioned, none is preferred. */
+    /**
+     * Whether [offer] is in a partitioned zone, where a new instance could not report either. False if all zones are partitioned,
+     * since there is no better zone then.
+     */
     private fun inPartitionedZone(offer: Offer) =
         zones[offer.zone] == ZoneHealth.PARTITIONED &&
             state.cluster.types.values.any { type -> type.zones.any { zones[it] != ZoneHealth.PARTITIONED } }
 
-    private fun expected(now: Long): List<Expected> {
+    private fun expected(now: Long): List<ExpectedDemand> {
         val bootMs = (state.cluster.types.values.maxOf { it.bootS } * 1000).toLong()
         val hasStartObjective = { jobClass: Int -> state.cluster.classes.name(jobClass) in state.cluster.startWithinS }
         return forecast.expected(now, bootMs, state.tuning.spareFactor, hasStartObjective) { jobClass, sample ->
@@ -122,24 +131,24 @@
         }
     }
 
-    /** Whether an instance rented when such a job arrives would be up too late for its service-level objective. */
+    /** Whether an instance rented when a job of [jobClass] arrives would be up too late for the class's start-time objective. */
     private fun scaleOutTooSlow(jobClass: Int, sample: TaskRow, bootMs: Long): Boolean {
         val startWithinS = state.cluster.startWithinS[state.cluster.classes.name(jobClass)] ?: return false
         val fetchMs = state.cluster.types.values.maxOf { sample.imageGb / it.fetchGbPerS } * 1000
         return startWithinS * 1000 < bootMs + fetchMs
     }
 
-    /** Whether no arrivals are expected, and all running and pending tasks would do without [machine] and without a replacement. */
+    /** Whether no arrivals are expected, and all running and pending tasks fit on the other machines, without a new instance. */
     fun canSpare(machine: Machine, now: Long): Boolean {
         if (expected(now).isNotEmpty() || !scaleOut.none || state.machines.any { it.phase in UNSETTLED }) return false
         val wanted = queue.demands(now) + machine.placements.values.map { Wanted(queue.rows.relocation(it.task, now), 1) }
         val others = bins(now).filter { it.machine != machine.index }
         val planner = CapacityPlanner(state.cluster.types, scaleOutPolicy()) { false }
         val plan = planner.plan(wanted, emptyList(), others, emptyMap())
-        return plan.rent.isEmpty() && plan.unmet.isEmpty()
+        return plan.instancesToRent.isEmpty() && plan.unmet.isEmpty()
     }
 
-    /** The capacity that is there or will be: machines that count, and instances that were requested. */
+    /** The present and upcoming capacity: machines whose capacity counts, and instances that were requested. */
     private fun bins(now: Long): List<Bin> {
         val machines = state.machines.filter { countsAsCapacity(it, now) }.map { bin(it, now) }
         val requested =
@@ -184,15 +193,16 @@
     }
 
     private companion object {
+        /** Phases in which it is open whether the machine's capacity can be used. */
         val UNSETTLED = setOf(MachinePhase.BOOTING, MachinePhase.UNCONFIRMED, MachinePhase.SUSPECTED, MachinePhase.UNREACHABLE)
 
-        /** Instances in one request. */
+        /** The most instances in one scale-out request. */
         const val MAX_RENT = 50
 
         /** Planning periods for which capacity stays reserved. */
         const val RESERVATION_PERIODS = 3
 
-        /** A new leader waits for this part of the idle time before it returns machines that were idle before its term. */
+        /** A new leader releases idle machines only after the idle timeout divided by this number. */
         const val SETTLED_DIVISOR = 3
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/autoscaling/Consolidation.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/autoscaling/Consolidation.kt
@@ -11,31 +11,31 @@
 import org.honeyjunction.core.model.Resources
 
 /**
- * Moves service replicas off a machine that the cluster can spare. Services run for long, so that replicas left over from busier
- * times would keep many machines, each with little on it. One machine at a time is drained.
+ * Consolidates service replicas: drains one machine at a time that the cluster can spare. Services run for a long time, so that
+ * without consolidation the replicas that remain after a load peak would keep many machines in use, each at low utilization.
  */
 class Consolidation(private val state: ClusterState, private val autoscaler: Autoscaler) {
-    private var nextAt = Long.MIN_VALUE
+    private var nextConsolidationAt = Long.MIN_VALUE
 
-    /** Drains a machine if there is one to spare, at most once in [PERIOD_MS] (monotonic milliseconds). */
+    /** Drains a machine that the cluster can spare, if there is one; runs at most once per [PERIOD_MS] (monotonic milliseconds). */
     fun step(now: Long) {
-        if (now < nextAt || now >= state.leaseValidUntil) return
-        nextAt = now + PERIOD_MS
-        if (state.machines.any(::unsettled)) return
+        if (now < nextConsolidationAt || now >= state.leaseValidUntil) return
+        nextConsolidationAt = now + PERIOD_MS
+        if (state.machines.any(::hasMovingTasks)) return
         val machine =
             state.machines
-                .filter { movable(it, now) }
+                .filter { onlySettledReplicas(it, now) }
                 .sortedBy { it.used.gpus + it.used.cpus / CPUS_PER_GPU }
                 .firstOrNull { fitsElsewhere(it) && autoscaler.canSpare(it, now) } ?: return
         machine.enter(MachinePhase.DRAINING)
         machine.placements.values.toList().forEach { it.task.evict() }
     }
 
-    /** While tasks are moving, the machines do not show what they will be used for. */
-    private fun unsettled(machine: Machine): Boolean =
+    /** Whether tasks are moving to or from [machine], so that its present use does not show its future use. */
+    private fun hasMovingTasks(machine: Machine): Boolean =
         machine.phase == MachinePhase.DRAINING || machine.placements.values.any { it.stopping || !it.phase.reported }
 
-    private fun movable(machine: Machine, now: Long): Boolean =
+    private fun onlySettledReplicas(machine: Machine, now: Long): Boolean =
         machine.usable && machine.placements.isNotEmpty() && machine.placements.values.all { settledReplica(it, now) }
 
     private fun settledReplica(placement: Placement, now: Long): Boolean =
@@ -43,7 +43,7 @@
             placement.phase == Phase.RUNNING &&
             now - placement.since > SETTLED_MS
 
-    /** Whether all replicas on [machine] fit on other machines that cache their images: a move must not cost a fetch. */
+    /** Whether all replicas on [machine] fit on other machines that already cache their images, so that no move fetches an image. */
     private fun fitsElsewhere(machine: Machine): Boolean {
         val free = HashMap<Machine, Resources>()
         return machine.placements.values.all { placement ->
@@ -54,7 +54,7 @@
         }
     }
 
-    /** The first machine that can take [placement]; [free]: what earlier moves leave free. */
+    /** The first machine that can take [placement]; [free] is the capacity that the moves planned so far leave free. */
     private fun targetFor(placement: Placement, free: HashMap<Machine, Resources>): Machine? {
         val from = placement.machine
         val job = placement.task.job
@@ -75,10 +75,10 @@
     private companion object {
         const val PERIOD_MS = 3_000L
 
-        /** How many CPUs count as much as one GPU in the choice of the least used machine. */
+        /** The number of CPUs that weigh as much as one GPU in the choice of the least used machine. */
         const val CPUS_PER_GPU = 1000
 
-        /** A start that is undone sooner would be worthless. */
+        /** How long a replica has to run before it may be moved: moving it sooner would waste its start. */
         const val SETTLED_MS = 35_000L
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/autoscaling/InstanceMonitor.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/autoscaling/InstanceMonitor.kt
@@ -11,13 +11,13 @@
 import org.honeyjunction.core.model.MachinePhase
 
 /**
- * Watches rented instances: expires their leases, and releases those that are dead, never come up, are drained, or are missing in
- * the cloud's list. Times are monotonic milliseconds; [listLagMs] is the delay with which the cloud lists machines.
+ * Monitors rented instances: expires their worker leases, and releases instances that are dead, have failed to boot, are drained,
+ * or are missing in the cloud's list. Times are monotonic milliseconds; [listLagMs] is the delay with which the cloud lists machines.
  */
 internal class InstanceMonitor(
     private val state: ClusterState,
     private val failureDetector: FailureDetector,
-    private val boots: BootTimes,
+    private val bootTimes: BootTimes,
     private val startedAt: Long,
     private val listLagMs: Long,
 ) {
@@ -27,6 +27,7 @@
     /** When each machine was first listed by the cloud. */
     private val firstListedAt = HashMap<String, Long>()
 
+    /** Expires leases and requests the releases that are due. */
     fun step(now: Long) {
         for (machine in state.machines) {
             expireLease(machine, now)
@@ -48,12 +49,16 @@
             MachinePhase.RELEASING, MachinePhase.GONE -> false
         }
 
+    /** How the boot of [machine] is going, compared with the boot times of its instance kind. */
     fun bootProgress(machine: Machine, now: Long): BootProgress {
         val bootS = state.cluster.types[machine.type]?.bootS ?: DEFAULT_BOOT_S
-        return boots.assess(machine.kind, machine.knownSince, (bootS * 1000).toLong(), listLagMs, now)
+        return bootTimes.assess(machine.kind, machine.knownSince, (bootS * 1000).toLong(), listLagMs, now)
     }
 
-    /** The expiry of a lease is evidence that the machine's tasks are gone; [WorkerLease] says when it is. */
+    /**
+     * Removes the placements of [machine] if [WorkerLease] finds its lease expired: lease expiry is evidence that the machine's tasks
+     * are gone.
+     */
     private fun expireLease(machine: Machine, now: Long) {
         if (machine.lease.on(WorkerLease.Event.TimePassed(now)) != WorkerLease.Finding.EXPIRED) return
         val jobs = machine.placements.values.mapTo(HashSet()) { it.task.job }
@@ -64,8 +69,8 @@
     }
 
     private fun requestRelease(now: Long) {
-        // A leader that is partitioned takes its machines for lost. Its delayed releases, executed when the partition heals, would
-        // take them from its successor. So nothing is released past the leader lease.
+        // A partitioned leader considers its machines lost. Its delayed releases, executed after the partition heals, would remove
+        // machines that its successor uses. So nothing is released after the leader lease has expired.
         if (releaseInFlight || now < releaseRetryAt || now >= state.leaseValidUntil) return
         val due =
             state.machines
@@ -77,7 +82,7 @@
         state.effects += Effect.ScaleIn(due)
     }
 
-    /** The cloud answered the release of [machines]; not [confirmed]: its outcome is unknown, and it is repeated. */
+    /** Handles the cloud's answer to the release of [machines]. If it is not [confirmed], its outcome is unknown and it is retried. */
     fun released(machines: List<String>, confirmed: Boolean, now: Long) {
         releaseInFlight = false
         if (!confirmed) {
@@ -100,7 +105,7 @@
         releaseUnlisted(names, now)
         firstListedAt.keys.removeIf { state.machine(it)?.phase == MachinePhase.GONE && it !in names }
         for (machine in state.machines) {
-            // A record names a machine that the cloud does not know: its release confirms that it is gone.
+            // An earlier leader recorded this machine, but the cloud does not list it: its release confirms that it is gone.
             val unknown = machine.phase == MachinePhase.UNCONFIRMED && machine.name !in names
             if (unknown && now - startedAt > UNKNOWN_LIST_LAGS * listLagMs) machine.enter(MachinePhase.RELEASING)
         }
@@ -113,7 +118,10 @@
         if (entry.failed && machine.phase < MachinePhase.RELEASING) machine.enter(MachinePhase.RELEASING)
     }
 
-    /** Once listed, a machine stays listed until it is gone; but a list may be older than the one before. */
+    /**
+     * Releases machines that are no longer listed. A machine stays listed until it is gone; but one list may be older than the list
+     * before it, so that a machine has to have been known for a while.
+     */
     private fun releaseUnlisted(names: Set<String>, now: Long) {
         for ((name, since) in firstListedAt) {
             val machine = state.machine(name) ?: continue
@@ -123,15 +131,17 @@
     }
 
     private companion object {
-        /** For machines of unknown type. */
+        /** The nominal boot time of machines of unknown type. */
         const val DEFAULT_BOOT_S = 60.0
+
+        /** The most machines in one release request. */
         const val MAX_RELEASE = 100
         const val RETRY_MS = 1_000L
 
-        /** In list delays: how long after its first listing a machine that is missing in a list is taken to be lost. */
+        /** How long after its first listing a machine that is missing in a list is considered lost, in list delays. */
         const val UNLISTED_LIST_LAGS = 4
 
-        /** In list delays: how long after the start of the term a recorded machine that was never listed is taken to be lost. */
+        /** How long after the start of the term a recorded machine that is not listed is considered lost, in list delays. */
         const val UNKNOWN_LIST_LAGS = 3
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/autoscaling/ScaleOutRequests.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/autoscaling/ScaleOutRequests.kt
@@ -6,18 +6,20 @@
 import org.honeyjunction.core.model.MachinePhase
 
 /**
- * The requests to the cloud to rent instances, from the first sending to the answer. A request whose outcome is unknown is repeated
- * under the same name, which makes it idempotent. Times are monotonic milliseconds.
+ * The scale-out requests to the cloud, each kept until it is answered. A request whose outcome is unknown is retried under the same
+ * name, which makes it idempotent. Times are monotonic milliseconds.
  */
 internal class ScaleOutRequests(private val state: ClusterState) {
+    /** A scale-out request; while it is not [inFlight], it is sent again at [retryAt]. */
     class Request(val offer: Offer, val effect: Effect.ScaleOut, var inFlight: Boolean, var retryAt: Long)
 
     private val requests = LinkedHashMap<String, Request>()
     private val refusedUntil = HashMap<Offer, Long>()
 
+    /** Whether no request is pending. */
     val none get() = requests.isEmpty()
 
-    /** The requests that are not answered yet. */
+    /** The requests that the cloud has not answered yet. */
     val pending: Collection<Request> get() = requests.values
 
     /** Whether the cloud has recently refused instances of [offer]. */
@@ -26,7 +28,7 @@
     /** Requests [count] instances, unless a request for the same offer is pending. */
     fun request(offer: Offer, count: Int, now: Long) {
         if (requests.values.any { it.offer == offer }) return
-        // Term and sequence number: no other leader, before or after a restart, can have used the same name.
+        // The term and the sequence number make the name unique across leaders and restarts.
         val name = "r-${state.term}-${state.nextSequence() and 0xFFFFFF}"
         val type = state.cluster.types.getValue(offer.type).name
         val zone = state.cluster.zones.name(offer.zone)
@@ -35,7 +37,7 @@
         state.effects += effect
     }
 
-    /** Repeats the requests whose outcome is unknown. */
+    /** Sends the requests whose outcome is unknown again. */
     fun retry(now: Long) {
         for (request in requests.values) {
             if (request.inFlight || now < request.retryAt) continue
@@ -44,7 +46,7 @@
         }
     }
 
-    /** The cloud has rented [machines], which may be fewer than requested. */
+    /** Adds the [machines] that the cloud has rented for the request [name], which may be fewer than requested. */
     fun confirmed(name: String, machines: List<String>, now: Long) {
         val request = requests.remove(name) ?: return
         for (machineName in machines) {
@@ -55,11 +57,13 @@
         if (machines.size < request.effect.count) refusedUntil[request.offer] = now + state.tuning.refusalMs
     }
 
+    /** Handles the cloud's refusal of the request [name]: its offer is avoided for a while. */
     fun refused(name: String, now: Long) {
         val request = requests.remove(name) ?: return
         refusedUntil[request.offer] = now + state.tuning.refusalMs
     }
 
+    /** Schedules a retry of the request [name], whose outcome is unknown. */
     fun outcomeUnknown(name: String, now: Long) {
         val request = requests[name] ?: return
         request.inFlight = false
--- a/src/main/kotlin/org/honeyjunction/core/control/machines/FailureDetector.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/machines/FailureDetector.kt
@@ -15,47 +15,55 @@
 import org.honeyjunction.core.placement.FreeCapacity
 
 /**
- * Detects machines whose heartbeats are missing, and decides how long to wait for each and which to declare dead. Whether their
- * tasks are gone is not decided here: that takes evidence (heartbeats, lease expiry, confirmed releases).
+ * Detects machines whose heartbeats are missing, and decides how long to wait for each machine and which machines to declare dead.
+ * Declaring a machine dead does not mark its tasks as gone: that requires a heartbeat, a lease expiry or a confirmed release.
  *
- * An unresponsive machine is waited for as long as its replacement would take to boot and to fetch the cached images. Whenever it
- * comes back, waiting has then cost at most twice what knowing it beforehand would have. Replicas of production jobs do not wait:
- * if a machine may still run one that could start elsewhere at once, the machine is released, since the confirmed release is the
- * proof that the replica is gone.
+ * The recovery timeout of an unresponsive machine is the time that a replacement would take to boot and to fetch the cached images.
+ * By the ski-rental argument, the cost of waiting is then at most twice the cost of the best decision in hindsight. Replicas of
+ * production jobs do not wait: if an unresponsive machine may still run a replica that could start elsewhere at once, the machine is
+ * released, since the confirmed release proves that the replica is gone.
  */
 class FailureDetector(private val state: ClusterState, private val queue: PendingQueue, private val zones: ZoneHealthMonitor) {
     private var nextTerminationCheckAt = Long.MIN_VALUE
 
-    /** Marks machines whose heartbeats are overdue. */
+    /**
+     * Moves machines with overdue heartbeats to [MachinePhase.SUSPECTED], and suspected machines that have not acknowledged this
+     * term's fencing token to [MachinePhase.UNCONFIRMED] once every worker lease has expired.
+     */
     fun step(now: Long) {
         for (machine in state.machines) {
             if (machine.phase == MachinePhase.UP && zones.heartbeatOverdue(machine, now)) machine.enter(MachinePhase.SUSPECTED)
-            // A delayed message of an earlier term proves nothing about the present state: it is not confirmed under this term.
+            // A machine without this term's fencing token has only sent messages of an earlier term, which may have been delayed
+            // and prove nothing about the present state.
             val unfenced = machine.phase == MachinePhase.SUSPECTED && !machine.lease.fenced
             if (unfenced && zones.sinceLastContactMs(machine, now) > leaseExpiryMs) machine.enter(MachinePhase.UNCONFIRMED)
         }
     }
 
-    /** Whether work that can wait may count on [machine]: an unresponsive machine of a partitioned zone will probably come back. */
+    /** Whether the planner counts the capacity of the unresponsive [machine] for work that can wait for its recovery. */
     fun expectedToRecover(machine: Machine, now: Long): Boolean =
         when (machine.phase) {
             MachinePhase.SUSPECTED, MachinePhase.UNCONFIRMED -> true
+            // Machines in a partitioned zone will probably come back when the partition heals.
             MachinePhase.UNREACHABLE ->
                 zones[machine.zone] != ZoneHealth.HEALTHY && zones.sinceLastContactMs(machine, now) < recoveryTimeoutMs(machine)
             MachinePhase.BOOTING, MachinePhase.UP, MachinePhase.DRAINING, MachinePhase.RELEASING, MachinePhase.GONE -> false
         }
 
-    /** After this time without contact any worker lease has expired, allowing for clock drift. */
+    /** The time without contact, in milliseconds, after which every worker lease has expired, with allowance for clock drift. */
     private val leaseExpiryMs get() = (state.cluster.leaseMs * WorkerLease.DRIFT).toLong() + WorkerLease.MARGIN_MS
 
-    /** From the expiry of its lease on: as long as a replacement would take to boot and to fetch the largest image cached here. */
+    /**
+     * The time without contact, in milliseconds, after which [machine] is declared dead: the lease expiry, plus the time that a
+     * replacement would take to boot and to fetch the largest image cached on [machine].
+     */
     private fun recoveryTimeoutMs(machine: Machine): Long {
         val type = state.cluster.types[machine.type] ?: return leaseExpiryMs
         val fetchS = (machine.images.values.maxOrNull() ?: 0.0) / type.fetchGbPerS
         return leaseExpiryMs + ((type.bootS + fetchS) * 1000).toLong()
     }
 
-    /** Whether [machine], which does not report, is to be declared dead now, that is, released. */
+    /** Whether the unresponsive [machine] is declared dead at [now], so that the caller releases it. */
     fun shouldDeclareDead(machine: Machine, now: Long): Boolean {
         if (isolated(now)) return false
         val silentMs = zones.sinceLastContactMs(machine, now)
@@ -71,13 +79,13 @@
         }
     }
 
-    /** A hung machine may run cancelled tasks beyond its lease; only its release makes sure that they are gone. */
+    /** A hung machine may run cancelled tasks past its lease; only its release ensures that these tasks are gone. */
     private fun hasCancelledTasks(machine: Machine) = machine.placements.values.any { cancelled(it.task.job) && it.stopping }
 
     /**
-     * How long a machine of an earlier term with cancelled tasks is waited for. It may have to be gone soon: the leader does not
-     * know for how long it has been unresponsive in all, and leaders may change faster than the recovery timeout. In a partitioned
-     * zone machines are not hung, so that the expiry of their leases ends their tasks.
+     * The time without contact, in milliseconds, after which an unconfirmed [machine] with cancelled tasks is declared dead. This
+     * timeout is short: a new leader does not know for how long the machine has been unresponsive in total, and leaders may change
+     * faster than the recovery timeout. Machines in a partitioned zone are not hung, so that lease expiry ends their tasks.
      */
     private fun cancellationTimeoutMs(machine: Machine) =
         if (zones[machine.zone] == ZoneHealth.PARTITIONED) leaseExpiryMs else heartbeatTimeoutMs
@@ -86,14 +94,15 @@
 
     private fun cancelled(job: Job) = job.stage == JobStage.CANCELLED || job.cancelRequested
 
-    /** Whether this node itself is probably cut off: no machine at all reports, or the process was suspended until just now. */
+    /** Whether this node itself is probably cut off: no machine reports, or this process has just resumed after a suspension. */
     fun isolated(now: Long) =
         state.machines.none { now - it.lastContactAt < state.cluster.reportMs * ISOLATION_HEARTBEATS } ||
             now - state.leaseGuard.resumedAt < state.cluster.reportMs * RESUME_HEARTBEATS
 
     /**
-     * The machines to release as a proof that replicas of production jobs are gone: those without contact past any lease that
-     * have a replica which could start elsewhere at once. As long as they do not report, there is no other proof.
+     * The machines to release in order to prove that their replicas of production jobs are gone: unconfirmed machines without
+     * contact past the lease expiry, with a replica that could start elsewhere at once. While such a machine does not report, only
+     * its confirmed release proves that the replica is gone.
      */
     fun machinesToTerminate(now: Long): List<Machine> {
         if (now < nextTerminationCheckAt || isolated(now)) return emptyList()
@@ -104,19 +113,19 @@
             }
         val critical = candidates.flatMap { machine -> machine.placements.values.filter(::critical) }
         if (critical.isEmpty()) return emptyList()
-        val fitting = FirstFitEstimate(capacityForProduction(now), state.book.table)
-        // Production tasks that are pending already go first.
+        val capacityEstimate = FirstFitEstimate(capacityForProduction(now), state.book.table)
+        // Production tasks that are already pending take capacity before relocated replicas.
         queue
             .demands(now)
             .filter { it.sample.priority == Priority.PRODUCTION }
-            .forEach { fitting.take(it.sample, it.count) }
+            .forEach { capacityEstimate.take(it.sample, it.count) }
         return critical
-            .filter { fitting.take(queue.rows.relocation(it.task, now), 1) > 0 }
+            .filter { capacityEstimate.take(queue.rows.relocation(it.task, now), 1) > 0 }
             .mapTo(LinkedHashSet()) { it.machine }
             .toList()
     }
 
-    /** A production replica that may still run on a machine of an earlier term, and nowhere else. */
+    /** Whether [placement] is a production replica that an earlier leader recorded, and the only placement of its task. */
     private fun critical(placement: Placement) =
         placement.phase == Phase.UNCONFIRMED &&
             placement.task.job.spec.priority == Priority.PRODUCTION &&
@@ -129,7 +138,7 @@
             .map { queue.capacity.of(it, now).withFree(capacityFor(it, Priority.PRODUCTION)) }
             .filter { it.free.gpus > 0 || it.free.cpus > 0 }
 
-    /** What is free on [machine], with what preempting checkpointed work of less than [priority] would free. */
+    /** The free capacity of [machine], including what preempting checkpointing tasks of a priority below [priority] would free. */
     private fun capacityFor(machine: Machine, priority: Priority): Resources =
         machine.placements.values
             .filter { it.task.job.spec.priority < priority && it.task.job.spec.checkpointS > 0 }
@@ -138,13 +147,13 @@
     private companion object {
         const val TERMINATION_CHECK_PERIOD_MS = 1_000L
 
-        /** Heartbeat periods without contact after which a machine with cancelled tasks is taken to be hung. */
+        /** Heartbeat periods without contact after which a machine with cancelled tasks is considered hung. */
         const val MISSED_HEARTBEATS = 3
 
-        /** Heartbeat periods without contact to any machine after which this node takes itself to be cut off. */
+        /** Heartbeat periods without contact to any machine after which this node considers itself cut off. */
         const val ISOLATION_HEARTBEATS = 4
 
-        /** Heartbeat periods that the machines get to report after this process was suspended. */
+        /** Heartbeat periods that the machines have to report after this process resumes from a suspension. */
         const val RESUME_HEARTBEATS = 2
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/machines/HeartbeatProcessor.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/machines/HeartbeatProcessor.kt
@@ -19,17 +19,17 @@
 import org.honeyjunction.core.model.Task
 
 /**
- * Reconciles the leader's state with the status that workers report. Besides confirmed releases and expired leases, these reports
- * are the only evidence of what runs on a machine.
+ * Reconciles the leader's state with the status that workers report. Besides confirmed releases and expired leases, worker reports
+ * are the only evidence of which tasks run on a machine.
  */
-class HeartbeatProcessor(private val state: ClusterState, private val lifecycle: JobLifecycle, private val boots: BootTimes) {
+class HeartbeatProcessor(private val state: ClusterState, private val lifecycle: JobLifecycle, private val bootTimes: BootTimes) {
     /**
-     * Takes in the status [report]; [isHeartbeat]: the worker sent it by itself, not as the answer to a command. Returns false for
-     * a message that is older than what is known already.
+     * Applies the status [report] to the leader's state. [isHeartbeat] is true if the worker sent the report periodically, and false
+     * if the report answers a command. Returns false if the report is older than the known state or comes from a released machine.
      */
     fun process(report: Heartbeat, now: Long, isHeartbeat: Boolean = false): Boolean {
         val machine = state.addMachine(report.machine, now)
-        // Delayed until after the machine's release was confirmed: what it reports is over.
+        // A report that arrives after the confirmed release of its machine describes tasks that are gone.
         if (machine.phase == MachinePhase.GONE) return false
         state.describe(machine, report.address, report.type, report.zone, report.spot)
         val received = WorkerLease.Event.MessageReceived(report.session, report.sequence, report.token, now)
@@ -39,42 +39,42 @@
                 Finding.NEWER -> false
                 Finding.STALE, Finding.NONE, Finding.EXPIRED -> return false
             }
-        noteContact(machine, isHeartbeat, now)
+        recordContact(machine, isHeartbeat, now)
         reconcileTasks(machine, report, newSession, now)
         state.machinesToSendTo += machine
         if (report.noticeS != null) handleSpotNotice(machine, report.noticeS, now)
         return true
     }
 
-    private fun noteContact(machine: Machine, isHeartbeat: Boolean, now: Long) {
+    private fun recordContact(machine: Machine, isHeartbeat: Boolean, now: Long) {
         machine.lastContactAt = now
         if (isHeartbeat) machine.lastHeartbeatAt = now
-        // If this message is the first that is known of the machine, it does not show how long the boot took.
-        if (machine.phase == MachinePhase.BOOTING && machine.knownSince < now) boots.recordBoot(machine.kind, machine.knownSince, now)
-        // A machine that answers commands but cannot send heartbeats loses its tasks when its lease expires: only a heartbeat
-        // makes it usable again.
+        // A machine first known by this message was rented at an unknown time, so that its boot time is unknown too.
+        if (machine.phase == MachinePhase.BOOTING && machine.knownSince < now) bootTimes.recordBoot(machine.kind, machine.knownSince, now)
+        // Answers to commands renew no lease: a machine that cannot send heartbeats loses its tasks when its lease expires. So only
+        // a heartbeat returns a suspected or unreachable machine to UP.
         if (machine.phase in NOT_REPORTING && (isHeartbeat || machine.phase !in NEEDS_HEARTBEAT)) machine.enter(MachinePhase.UP)
         if (machine.placements.isEmpty() && machine.idleSince == Long.MIN_VALUE) machine.idleSince = now
     }
 
     private fun reconcileTasks(machine: Machine, report: Heartbeat, newSession: Boolean, now: Long) {
-        val listed = report.tasks.associateBy { it.task }
+        val reportedTasks = report.tasks.associateBy { it.task }
         for (placement in machine.placements.values.toList()) {
-            val reported = listed[placement.task.id]
+            val reported = reportedTasks[placement.task.id]
             if (reported?.attempt == placement.attempt) continue
-            if (provesGone(placement, report, newSession)) state.remove(placement, now)
+            if (provesAbsence(placement, report, newSession)) state.remove(placement, now)
         }
         machine.reportedEndedTasks = report.tasks.count { it.state is TaskState.Ended }
         report.tasks.forEach { reconcileTask(machine, it, now) }
     }
 
-    /** Whether [report], which does not list [placement], proves that the task is not and will not be on the machine. */
-    private fun provesGone(placement: Placement, report: Heartbeat, newSession: Boolean): Boolean =
+    /** Whether [report], which does not list [placement], proves that the task neither runs nor can still start on the machine. */
+    private fun provesAbsence(placement: Placement, report: Heartbeat, newSession: Boolean): Boolean =
         when (placement.phase) {
             Phase.RESERVED, Phase.RECORDED -> false
-            // A delayed start command can still be executed until the session or the fencing token has moved on.
+            // The worker may still execute a delayed start command until its session or its fencing token has advanced.
             Phase.SENT -> newSession || report.token >= placement.voidFromToken
-            // An earlier leader's commands are void only once the worker has acknowledged this term's fencing token.
+            // The worker rejects commands of earlier leaders only after it has acknowledged this term's fencing token.
             Phase.UNCONFIRMED -> report.token >= state.termToken
             Phase.FETCHING, Phase.GATHERING, Phase.RUNNING, Phase.SAVING -> true
         }
@@ -98,15 +98,15 @@
             known.enter(phase, now)
             if (phase == Phase.RUNNING) job.started = true
             machine.idleSince = Long.MIN_VALUE
-            // A reported task's image is cached there, whatever an earlier leader's record says.
+            // The image of a reported task is cached on the machine, even if an earlier leader's checkpoint does not list it.
             recordImage(machine, task)
             return
         }
-        // What an earlier leader has recorded, or this one has sent, may still start: the report of another attempt, perhaps an
-        // earlier one, does not disprove it.
+        // An attempt that an earlier leader recorded, or that this leader sent, may still start. A report of a different attempt,
+        // which may be an older one, does not rule that out.
         if (known?.phase?.outcomeUnknown == true) return
         val elsewhere = task.placements.any { it.machine !== machine }
-        // A start of this leader that was not sent yet is replaced by what is really on the machine.
+        // The reported attempt replaces a placement whose start command this leader has not sent yet.
         val placement = state.place(task, machine, reported.attempt, phase, now)
         if (job.mustStop || task.done || elsewhere) placement.requestStop(0.0)
     }
@@ -120,7 +120,7 @@
         }
     }
 
-    /** [known]: the placement that has ended; null if the leader knows of none. */
+    /** Handles the reported [end] of [task] on [machine]; [known] is the ended placement, or null if the leader has no record of it. */
     private fun handleEnd(known: Placement?, task: Task, end: TaskState.Ended, machine: Machine, now: Long) {
         val job = task.job
         if (known != null) state.remove(known, now)
@@ -139,25 +139,30 @@
         machine.recordImage(task.job.image, task.job.spec.imageGb, type.cacheGb)
     }
 
-    /** The machine, a spot instance, will be taken away in [noticeS] seconds: its tasks move while they can. */
+    /** Drains [machine], a spot instance that the cloud will reclaim in [noticeS] seconds, and evicts the tasks that should move. */
     private fun handleSpotNotice(machine: Machine, noticeS: Double, now: Long) {
-        val first = machine.noticeUntil == null
+        val firstNotice = machine.noticeUntil == null
         machine.noticeUntil = now + (noticeS * 1000).toLong()
         if (machine.phase == MachinePhase.UP) machine.enter(MachinePhase.DRAINING)
-        if (!first) return
+        if (!firstNotice) return
         for (placement in machine.placements.values.toList()) {
             val spec = placement.task.job.spec
             val cannotCheckpoint = spec.checkpointS <= 0 || spec.saveS + 1 > noticeS
-            // A task that cannot checkpoint goes on and may still finish in time; one that has not started loses nothing by moving.
+            // A running task that cannot checkpoint in time keeps running, since it may still finish. A task that does not run yet
+            // loses nothing by moving.
             if (placement.phase == Phase.RUNNING && cannotCheckpoint) continue
             placement.task.evict()
         }
     }
 
     private companion object {
-        /** How long a job waits after a worker rejected a start of it. */
+        /** How long a job is not started again after a worker rejected one of its start commands. */
         const val REJECTED_RETRY_MS = 1_000L
+
+        /** Phases in which a machine is not known to report under this term. */
         val NOT_REPORTING = setOf(MachinePhase.BOOTING, MachinePhase.UNCONFIRMED, MachinePhase.SUSPECTED, MachinePhase.UNREACHABLE)
+
+        /** Phases that a machine leaves only by a heartbeat, not by the answer to a command. */
         val NEEDS_HEARTBEAT = setOf(MachinePhase.SUSPECTED, MachinePhase.UNREACHABLE)
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/machines/ZoneHealthMonitor.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/machines/ZoneHealthMonitor.kt
@@ -5,14 +5,15 @@
 import org.honeyjunction.core.model.Machine
 import org.honeyjunction.core.model.MachinePhase
 
-/** The health of a zone as a whole: many machines that become unresponsive together are one event, not hundreds. */
+/** The health of a zone as a whole: many machines that become unresponsive together are handled as one event. */
 enum class ZoneHealth {
+    /** Most machines of the zone are responsive. */
     HEALTHY,
 
-    /** Most of its machines are unresponsive: it is taken to be cut off, and its machines to come back with their caches. */
+    /** Most machines are unresponsive: the zone is considered cut off, and its machines are expected back with their caches. */
     PARTITIONED,
 
-    /** Its machines report again, but not yet all. */
+    /** Some machines that were unresponsive report again, but not yet all. */
     RECOVERING,
 }
 
@@ -22,22 +23,26 @@
         var health = ZoneHealth.HEALTHY
         var since = startedAt
 
-        /**
-         * Of the latest partition: when it began and ended, the most machines that were unresponsive at once, and the fewest that
-         * were responsive.
-         */
+        /** When the latest partition began. */
         var partitionedAt = Long.MAX_VALUE
+
+        /** When the latest partition ended. */
         var recoveredAt = Long.MIN_VALUE / 2
+
+        /** The highest number of machines that were unresponsive at once in the latest partition. */
         var mostUnresponsive = 0
+
+        /** The lowest number of machines that were responsive at once in the latest partition. */
         var fewestResponsive = Int.MAX_VALUE
     }
 
     private val zones = List(state.cluster.zones.size) { Zone(startedAt) }
-    private var nextAt = startedAt
+    private var nextEvaluationAt = startedAt
 
+    /** The health of the zone with the dense index [zone]. */
     operator fun get(zone: Int): ZoneHealth = zones.getOrNull(zone)?.health ?: ZoneHealth.HEALTHY
 
-    /** The only function that changes a zone's health. */
+    /** Changes the health of the zone at [index] to [next]; no other function changes it. */
     private fun enter(index: Int, next: ZoneHealth, now: Long) {
         val zone = zones[index]
         logChange(index, next, now)
@@ -64,14 +69,14 @@
         state.effects += Effect.LogEvent("zone-health-changed", "$name: ${zone.health} -> $next after $afterS s, $phases")
     }
 
-    /** Evaluates all zones, at most once in [PERIOD_MS]. */
+    /** Evaluates all zones, at most once per [PERIOD_MS]. */
     fun step(now: Long) {
-        if (now < nextAt) return
-        nextAt = now + PERIOD_MS
+        if (now < nextEvaluationAt) return
+        nextEvaluationAt = now + PERIOD_MS
         val present = IntArray(zones.size)
         val unresponsive = IntArray(zones.size)
         for (machine in state.machines) {
-            if (machine.zone !in zones.indices || machine.phase !in PRESENT) continue
+            if (machine.zone !in zones.indices || machine.phase !in COUNTED_PHASES) continue
             present[machine.zone]++
             if (unresponsive(machine, now)) unresponsive[machine.zone]++
         }
@@ -97,8 +102,8 @@
         val zone = zones[index]
         zone.mostUnresponsive = maxOf(zone.mostUnresponsive, unresponsive)
         zone.fewestResponsive = minOf(zone.fewestResponsive, present - unresponsive)
-        // Once a tenth of them reports again, the others will within a heartbeat period. Machines that were declared dead
-        // meanwhile do not count as recovered.
+        // Once a tenth of the unresponsive machines report again, the others follow within a heartbeat period. Machines that were
+        // declared dead during the partition do not count as recovered.
         val recovered = present - unresponsive - zone.fewestResponsive
         if (present == 0) {
             enter(index, ZoneHealth.HEALTHY, now)
@@ -107,7 +112,7 @@
         }
     }
 
-    /** Whether [machine] has missed its heartbeats, so that nothing should rely on it now. */
+    /** Whether [machine] has missed its heartbeats, so that no task should be started there. */
     fun unresponsive(machine: Machine, now: Long): Boolean =
         when (machine.phase) {
             MachinePhase.SUSPECTED, MachinePhase.UNREACHABLE -> true
@@ -115,18 +120,21 @@
             MachinePhase.BOOTING, MachinePhase.UP, MachinePhase.DRAINING, MachinePhase.RELEASING, MachinePhase.GONE -> false
         }
 
-    /** Answers to commands do not count: they renew no lease, so tasks started there meanwhile would be lost with the lease. */
+    /**
+     * Whether the heartbeats of [machine] are overdue. Answers to commands do not count as heartbeats: they renew no lease, so that
+     * tasks started on [machine] would be lost when the lease expires.
+     */
     fun heartbeatOverdue(machine: Machine, now: Long) =
         elapsedMs(machine, machine.lastHeartbeatAt, now) > state.cluster.reportMs * OVERDUE_HEARTBEATS
 
-    /** How long no message of [machine] has come, neither a heartbeat nor the answer to a command. */
+    /** Milliseconds since the last message of [machine], be it a heartbeat or the answer to a command. */
     fun sinceLastContactMs(machine: Machine, now: Long) = elapsedMs(machine, machine.lastContactAt, now)
 
-    /** While this process was suspended it could receive nothing, so that the time before does not count. */
+    /** Milliseconds since [since], not counting the time before this process last resumed: while suspended it receives no messages. */
     private fun elapsedMs(machine: Machine, since: Long, now: Long) =
         now - maxOf(maxOf(since, machine.knownSince), maxOf(startedAt, state.leaseGuard.resumedAt))
 
-    /** Whether [machine] was rented during a partition that has healed since: it may not be needed any more. */
+    /** Whether [machine] was rented during a partition that has recently healed, so that its capacity may be surplus. */
     fun rentedDuringPartition(machine: Machine, now: Long): Boolean =
         zones.any {
             machine.knownSince in it.partitionedAt..it.recoveredAt && now - it.recoveredAt < SCALE_IN_WINDOW_MS
@@ -135,18 +143,20 @@
     private companion object {
         const val PERIOD_MS = 250L
 
-        /** In heartbeat periods: a heartbeat may be a little late, or lost once. */
+        /** Heartbeat periods after which a heartbeat is overdue: one heartbeat may be lost and the next one slightly late. */
         const val OVERDUE_HEARTBEATS = 2.25
 
-        /** A zone with fewer machines is never taken to be partitioned. */
+        /** A zone with fewer machines is never considered partitioned. */
         const val MIN_MACHINES = 3
 
-        /** A partition ends when one in this many of its unresponsive machines reports again. */
+        /** A partition ends when one in this many of the zone's unresponsive machines reports again. */
         const val RECOVERY_DIVISOR = 10
 
-        /** How long after a partition the machines rented meanwhile may be returned before they are up. */
+        /** How long after a partition the machines rented during the partition may be released while they still boot. */
         const val SCALE_IN_WINDOW_MS = 20_000L
-        val PRESENT =
+
+        /** Phases of the machines that count when the health of a zone is derived. */
+        val COUNTED_PHASES =
             setOf(MachinePhase.UP, MachinePhase.SUSPECTED, MachinePhase.UNCONFIRMED, MachinePhase.UNREACHABLE, MachinePhase.DRAINING)
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/preemption/PreemptionPlanner.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/preemption/PreemptionPlanner.kt
@@ -13,9 +13,9 @@
 import org.honeyjunction.core.placement.Preemption
 import org.honeyjunction.core.placement.TaskRow
 
-/** Preempts tasks in favour of pending tasks that go before them. Times are monotonic milliseconds. */
+/** Preempts running tasks in favour of pending tasks that take precedence over them. Times are monotonic milliseconds. */
 class PreemptionPlanner(private val state: ClusterState, private val queue: PendingQueue, private val autoscaler: Autoscaler) {
-    /** One preemption round. */
+    /** Runs one preemption round over all demands that have waited long enough. */
     fun preempt(now: Long) {
         val demands = queue.demands(now) { !it.failing }.filter { it.sample.waitingMs >= state.tuning.preemptAfterMs }
         if (demands.isEmpty()) return
@@ -26,17 +26,17 @@
                 .orEmpty()
                 .mapTo(HashSet()) { it.job }
         var rowsLeft = MAX_ROWS
-        val futile = ArrayList<TaskRow>()
+        val futileDemands = ArrayList<TaskRow>()
         for (demand in demands) {
-            // Futile demands are limited separately: they must not use up what may be done for the others.
-            if (rowsLeft <= 0 || futile.size >= MAX_FUTILE) break
-            // Where a task with the same rights found neither free capacity nor victims, a larger one will not either.
-            if (futile.any { demand.sample.noEasierToServeThan(it) }) continue
+            // Futile demands have a limit of their own, so that they do not use up the row limit of the other demands.
+            if (rowsLeft <= 0 || futileDemands.size >= MAX_FUTILE) break
+            // If no victims were found for a task with the same preemption rights, none will be found for a larger task.
+            if (futileDemands.any { demand.sample.noEasierToServeThan(it) }) continue
             val count = if (demand.sample.gangOf > 0) demand.count else minOf(demand.count, rowsLeft)
-            if (makeRoom(demand.sample, count, sites, demand.sample.job in unmetJobs, now)) {
+            if (preemptFor(demand.sample, count, sites, demand.sample.job in unmetJobs, now)) {
                 rowsLeft -= count
             } else {
-                futile += demand.sample
+                futileDemands += demand.sample
             }
         }
     }
@@ -48,23 +48,26 @@
         return PreemptionSite(machine, queue.capacity.of(machine, now).withFree(free), running, state.book.table)
     }
 
-    /** Which tasks may be preempted for a task depends on its team and its guarantee too. */
+    /**
+     * Whether this task needs at least as much as [other] and has the same preemption rights. These rights depend on the team and
+     * the guarantee, besides the priority.
+     */
     private fun TaskRow.noEasierToServeThan(other: TaskRow) =
         team == other.team && priority == other.priority && guaranteed == other.guaranteed && noEasierThan(other)
 
     /**
-     * Makes room for all tasks of a gang, or for as many tasks as possible; for a job bound to one zone, in the zone where the most
-     * tasks get room, and among those where the least work is lost. Returns false if no room could be made.
+     * Preempts for all [count] tasks of a gang, or else for as many of [count] tasks as possible. For a job bound to one zone, picks
+     * the zone where most tasks can start, and among equals the one where the least work is lost. Returns false if no task can start.
      */
-    private fun makeRoom(row: TaskRow, count: Int, sites: List<PreemptionSite>, unmet: Boolean, now: Long): Boolean {
+    private fun preemptFor(row: TaskRow, count: Int, sites: List<PreemptionSite>, unmet: Boolean, now: Long): Boolean {
         val plans =
             if (row.oneZone) {
                 sites.groupBy { it.capacity.zone }.map { (_, inZone) -> StepPlanner(row, inZone, unmet).plan(count) }
             } else {
                 listOf(StepPlanner(row, sites, unmet).plan(count))
             }
-        val byWorth = compareBy<List<PreemptionStep>> { it.size }.thenByDescending { steps -> steps.sumOf { it.lostS } }
-        val best = plans.filter { it.size == count || row.gangOf == 0 }.maxWithOrNull(byWorth) ?: return false
+        val byTasksThenLeastLoss = compareBy<List<PreemptionStep>> { it.size }.thenByDescending { steps -> steps.sumOf { it.lostS } }
+        val best = plans.filter { it.size == count || row.gangOf == 0 }.maxWithOrNull(byTasksThenLeastLoss) ?: return false
         best.forEach { carryOut(it, row, now) }
         return best.isNotEmpty()
     }
@@ -79,7 +82,7 @@
 
     /**
      * Plans where tasks like [row] could start, task by task: on free capacity first, then on the machine where the least work is
-     * lost. [unmet]: no instance can be rented for them.
+     * lost. [unmet] is true if no instance can be rented for these tasks.
      */
     private inner class StepPlanner(private val row: TaskRow, sites: List<PreemptionSite>, private val unmet: Boolean) {
         private val possible = sites.filter { allows(it) && it.conflicts(row) != null }
@@ -147,7 +150,7 @@
         return PreemptibleTask(placement, placement.machine.index, job.team, job.spec.priority, job.guaranteed, job.spec.need, lostS)
     }
 
-    /** What preempting [placement] costs, in seconds of work. */
+    /** The cost of preempting [placement], in seconds of lost work. */
     private fun lostS(placement: Placement, now: Long): Double {
         val spec = placement.task.job.spec
         val running = placement.phase == Phase.RUNNING
@@ -158,22 +161,28 @@
                 spec.checkpointS > 0 && running -> spec.saveS
                 else -> ranS
             }
-        // Preempting a task right after its start makes the start worthless.
+        // Preempting a task right after its start wastes the start.
         val recentStartS = if (ranS < RECENT_START_S) RECENT_START_S else 0.0
         return progressLostS + recentStartS + RESTART_S
     }
 
     private companion object {
-        /** Tasks for which one round makes room. */
+        /** The most tasks for which one round preempts. */
         const val MAX_ROWS = 64
 
-        /** Demands for which one round tries in vain. */
+        /** The most demands that one round may fail to serve before it ends. */
         const val MAX_FUTILE = 48
 
-        /** How long the freed capacity is reserved for the priority it was freed for. */
+        /** How long the freed capacity is reserved for the priority of the task that it was freed for. */
         const val RESERVATION_MS = 8_000L
+
+        /** A task that has run for less time counts as just started; also the cost of preempting such a task. */
         const val RECENT_START_S = 30.0
+
+        /** The cost of starting a preempted task again. */
         const val RESTART_S = 3.0
+
+        /** The cost of preempting a service replica, instead of the time it has run. */
         const val SERVICE_LOSS_S = 60.0
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/control/preemption/PreemptionSite.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/preemption/PreemptionSite.kt
@@ -9,8 +9,8 @@
 import org.honeyjunction.core.rules.RuleTable
 
 /**
- * A machine on which tasks may be preempted: its free [capacity] as it will be when all tasks that are stopping have gone, and the
- * other tasks that are [running] there. Both change while a preemption round plans.
+ * A machine on which tasks may be preempted. [capacity] is its free capacity once all stopping tasks have ended, and [running] are
+ * its other tasks. A preemption round updates both as it goes.
  */
 internal class PreemptionSite(
     val machine: Machine,
@@ -18,22 +18,24 @@
     val running: MutableList<PreemptibleTask<Placement>>,
     private val rules: RuleTable,
 ) {
-    /** The running tasks beside which a rule forbids [row]; null where a rule forbids the machine as such. */
+    /** The running tasks next to which placement rules forbid [row]; null if they forbid [row] on this machine in any case. */
     fun conflicts(row: TaskRow): List<PreemptibleTask<Placement>>? {
         if (row.shape < 0) return emptyList()
-        if (barred(row, NO_TASKS)) return null
-        return running.filter { barred(row, intArrayOf(it.of.task.job.shape)) }
+        if (forbidden(row, NO_TASKS)) return null
+        return running.filter { forbidden(row, intArrayOf(it.of.task.job.shape)) }
     }
 
-    private fun barred(row: TaskRow, besideShapes: IntArray): Boolean {
+    private fun forbidden(row: TaskRow, besideShapes: IntArray): Boolean {
         val scene = RuleTable.Scene(capacity.place, besideShapes, capacity.images)
         return rules.barred(row.shape, scene, row.mates) != null
     }
 
+    /** Takes [need] from the free capacity. */
     fun take(need: Resources) {
         capacity = capacity.withFree(capacity.free - need)
     }
 
+    /** Removes [victims] from the running tasks and adds their resources to the free capacity. */
     fun preempt(victims: List<PreemptibleTask<Placement>>) {
         running.removeAll(victims.toSet())
         capacity = capacity.withFree(victims.fold(capacity.free) { sum, victim -> sum + victim.need })
@@ -44,5 +46,5 @@
     }
 }
 
-/** Starts one task on [site] after stopping [victims]; [lostS]: the seconds of work that this costs. */
+/** A planned start of one task on [site] after stopping [victims], which loses [lostS] seconds of work. */
 internal class PreemptionStep(val site: PreemptionSite, val victims: List<PreemptibleTask<Placement>>, val lostS: Double)
--- a/src/main/kotlin/org/honeyjunction/core/failures/FailureAttribution.kt
+++ b/src/main/kotlin/org/honeyjunction/core/failures/FailureAttribution.kt
@@ -1,62 +1,63 @@
 package org.honeyjunction.core.failures
 
-/** What is known of a job from how its tasks ended. */
+/** The health of a job, derived from how its tasks ended. */
 enum class JobHealth {
-    /** Nothing yet: no task has ended. */
+    /** No task of the job has ended yet. */
     UNTRIED,
 
-    /** One of its tasks has finished: where others fail, the machine is at fault. */
+    /** A task of the job has finished, so that failures of its other tasks are attributed to the machines. */
     HEALTHY,
 
-    /** It failed on a machine or two, which are quarantined until it has been tried elsewhere. */
+    /** Tasks of the job failed on one or two machines, which are quarantined until the job has been tried elsewhere. */
     SUSPECTED,
 
-    /** A crash loop: it fails on every machine. It is retried one task at a time, with backoff; only its user ends it. */
+    /** The job crash-loops on every machine. It is retried one task at a time, with backoff, until its user cancels it. */
     FAILING,
 }
 
-/** What is known of a machine from how tasks end there. */
+/** The health of a machine, derived from how tasks end there. */
 enum class MachineHealth {
+    /** No unattributed failure is known. */
     HEALTHY,
 
-    /** A job failed here that has not been tried elsewhere yet: the machine takes no new tasks until it has. */
+    /** A job failed on the machine and has not been tried elsewhere yet: the machine takes no new tasks until then. */
     QUARANTINED,
 
-    /** Healthy jobs failed here, or several that are not known to fail elsewhere: the machine is to be returned. */
+    /** A healthy job failed on the machine, or several jobs that are not known to fail elsewhere: the machine is to be released. */
     FAULTY,
 }
 
-/** The outcome of a failure: the changed health of [machines], and for how many milliseconds the job should back off. */
+/** The result of attributing a failure: the changed health of [machines], and the job's backoff [pauseMs] in milliseconds. */
 class Attribution(val pauseMs: Long, val machines: Map<Int, MachineHealth>)
 
-/** The failures of a job: on how many [machines], and [since] when in monotonic milliseconds. */
+/** The failures of a job: the number of [machines] it failed on, and [since] when in monotonic milliseconds. */
 data class JobFailures(val machines: Int, val since: Long)
 
-/** A job that is not healthy, as checkpointed for the next leader; [sinceWall] is wall-clock time. */
+/** A suspected or failing job, as checkpointed for the next leader; [sinceWall] is wall-clock time in milliseconds. */
 data class JobFailureCheckpoint(val job: String, val failing: Boolean, val tries: Int, val machines: Int, val sinceWall: Long)
 
 /**
- * Attributes failures to jobs or to machines. A single failure shows only that one of the two is at fault; retrying the job
- * elsewhere and running other jobs on the machine shows which. A job that fails on [MACHINES_TO_FAIL_JOB] machines is failing, and
- * clears them; a machine on which a healthy job fails, or two jobs that are not known to fail elsewhere, is faulty. So one bad job
- * cannot make a fleet of machines faulty, since at most two are charged with it at a time, and one bad machine cannot make a job
- * failing, since it counts once.
+ * Attributes task failures to jobs or to machines. A single failure shows only that either the job or the machine is at fault;
+ * retrying the job elsewhere and running other jobs on the machine shows which. A job that fails on [FAILING_JOB_MIN_MACHINES]
+ * machines is failing, and these machines are cleared. A machine on which a healthy job fails, or two jobs that are not known to
+ * fail elsewhere, is faulty. So one bad job cannot make a fleet of machines faulty, since at most two machines are quarantined for
+ * that job at a time, and one bad machine cannot make a job failing, since repeated failures on one machine count once.
  *
  * Jobs and machines are given by their dense indices, times in monotonic milliseconds. Only [failed], [succeeded], [retain],
- * [jobEnded] and [restore] change the state, all health through [enter] but for [restore].
+ * [jobEnded] and [restore] change the state; all changes of health go through [enter], except those of [restore].
  */
-class FailureAttribution(private val maxPauseMs: Long = 300_000) {
+class FailureAttribution(private val maxBackoffMs: Long = 300_000) {
     private class JobRecord {
         var health = JobHealth.UNTRIED
         val failedOn = LinkedHashSet<Int>()
         val lastFailedOn = HashMap<Int, Int>()
 
-        /** How often it was retried since it was found failing: failures that come together count once. */
-        var tries = 0
+        /** The number of retries since the job was found failing; failures within [SAME_RETRY_MS] count as one retry. */
+        var retries = 0
         var failingSince = 0L
-        var triedAt = Long.MIN_VALUE / 2
+        var retriedAt = Long.MIN_VALUE / 2
 
-        /** On how many machines it had failed under an earlier leader. */
+        /** The number of machines that the job had failed on under an earlier leader. */
         var restoredMachines = 0
 
         val unhealthy get() = health == JobHealth.SUSPECTED || health == JobHealth.FAILING
@@ -66,36 +67,38 @@
     private class MachineRecord {
         var health = MachineHealth.HEALTHY
 
-        /** The jobs that failed here without an attribution yet. */
-        val chargedBy = LinkedHashSet<Int>()
+        /** The jobs whose failures on this machine are not attributed yet. */
+        val unattributedJobs = LinkedHashSet<Int>()
         var quarantinedUntil = 0L
     }
 
     private val jobs = HashMap<Int, JobRecord>()
     private val machines = HashMap<Int, MachineRecord>()
 
-    /** Incremented by each change that the next leader should know of. */
+    /** Incremented by each change that is to be checkpointed for the next leader. */
     var version = 0L
         private set
 
+    /** The health of [job]. */
     fun jobHealth(job: Int): JobHealth = jobs[job]?.health ?: JobHealth.UNTRIED
 
-    /** A quarantine expires, since the retry elsewhere that it waits for may never come. */
+    /** The health of [machine]. A quarantine expires, since the retry on another machine that would end it may never happen. */
     fun machineHealth(machine: Int, now: Long): MachineHealth {
         val record = machines[machine] ?: return MachineHealth.HEALTHY
         val expired = record.health == MachineHealth.QUARANTINED && now >= record.quarantinedUntil
         return if (expired) MachineHealth.HEALTHY else record.health
     }
 
+    /** Whether [job] is known to fail on every machine. */
     fun failing(job: Int): Boolean = jobs[job]?.health == JobHealth.FAILING
 
-    /** The failures of [job]; null if it is not suspected or failing. */
+    /** The failures of [job]; null if the job is neither suspected nor failing. */
     fun failures(job: Int): JobFailures? {
         val record = jobs[job]?.takeIf { it.unhealthy } ?: return null
         return JobFailures(record.machineCount, record.failingSince)
     }
 
-    /** How many jobs and machines are of which health, for the statistics in the log. */
+    /** The number of jobs and of machines by health, without the healthy ones, for the statistics in the log. */
     fun statistics(now: Long): String {
         val jobCounts =
             jobs.values
@@ -111,43 +114,49 @@
         return "jobs $jobCounts, machines $machineCounts"
     }
 
-    /** [task] of [job] failed on [machine]; a retry elsewhere may take [quarantineMs]. */
+    /**
+     * Records that [task] of [job] failed on [machine], and attributes the failure if possible. A quarantine of [machine] lasts
+     * [quarantineMs], which allows for a retry elsewhere.
+     */
     fun failed(job: Int, task: Int, machine: Int, now: Long, quarantineMs: Long): Attribution {
         val record = jobs.getOrPut(job, ::JobRecord)
-        val taskFailedOn = record.lastFailedOn.put(task, machine)
+        val previousFailureOn = record.lastFailedOn.put(task, machine)
         if (record.failedOn.isEmpty()) record.failingSince = now
         record.failedOn += machine
         return when (record.health) {
             JobHealth.HEALTHY ->
-                if (taskFailedOn != null && taskFailedOn != machine) {
-                    // A task that fails on several machines is itself at fault.
-                    Attribution(FIRST_PAUSE_MS, emptyMap())
+                if (previousFailureOn != null && previousFailureOn != machine) {
+                    // A task that fails on several machines is itself at fault, even if its job is healthy.
+                    Attribution(INITIAL_BACKOFF_MS, emptyMap())
                 } else {
                     Attribution(0, enter(machine, MachineHealth.FAULTY, now))
                 }
-            JobHealth.FAILING -> Attribution(nextPause(record, now), emptyMap())
+            JobHealth.FAILING -> Attribution(nextBackoffMs(record, now), emptyMap())
             JobHealth.UNTRIED, JobHealth.SUSPECTED ->
-                if (record.failedOn.size >= MACHINES_TO_FAIL_JOB) {
+                if (record.failedOn.size >= FAILING_JOB_MIN_MACHINES) {
                     enter(record, JobHealth.FAILING)
-                    Attribution(nextPause(record, now), clearCharges(job, now))
+                    Attribution(nextBackoffMs(record, now), clearUnattributed(job, now))
                 } else {
                     enter(record, JobHealth.SUSPECTED)
-                    Attribution(FIRST_PAUSE_MS, charge(job, machine, now, quarantineMs))
+                    Attribution(INITIAL_BACKOFF_MS, recordUnattributed(job, machine, now, quarantineMs))
                 }
         }
     }
 
-    /** A task of [job] finished on [machine]. So both are healthy, and the machines on which the job failed before are not. */
+    /**
+     * Records that a task of [job] finished on [machine], so that both are healthy. Machines that are quarantined for earlier
+     * failures of the job are faulty. Returns the changed health of machines.
+     */
     fun succeeded(job: Int, machine: Int, now: Long): Map<Int, MachineHealth> {
         val record = jobs.getOrPut(job, ::JobRecord)
         val machineRecord = machines[machine]
         val quarantined = machineRecord != null && machineRecord.health == MachineHealth.QUARANTINED
         val cleared = if (quarantined) enter(machine, MachineHealth.HEALTHY, now) else emptyMap()
-        machineRecord?.chargedBy?.clear()
+        machineRecord?.unattributedJobs?.clear()
         if (record.health == JobHealth.HEALTHY) return cleared
         val suspected = record.health == JobHealth.SUSPECTED
         enter(record, JobHealth.HEALTHY)
-        // It was not the job: the machines that are still quarantined for it are at fault.
+        // The job was not at fault: the machines that are still quarantined for its failures are faulty.
         val faulty =
             if (suspected) {
                 record.failedOn.filter { it != machine && quarantinedFor(job, it, now) }
@@ -159,42 +168,43 @@
     }
 
     private fun quarantinedFor(job: Int, machine: Int, now: Long): Boolean =
-        machineHealth(machine, now) == MachineHealth.QUARANTINED && job in machines.getValue(machine).chargedBy
+        machineHealth(machine, now) == MachineHealth.QUARANTINED && job in machines.getValue(machine).unattributedJobs
 
-    /** Forgets all machines but those that are [present]. */
+    /** Forgets all machines for which [present] returns false. */
     fun retain(present: (Int) -> Boolean) {
         machines.keys.retainAll(present)
     }
 
-    /** [job] was cancelled, or is done. Machines that are quarantined for it alone are cleared. */
+    /** Forgets [job], which was cancelled or is done, and clears the machines that are quarantined for this job alone. */
     fun jobEnded(job: Int, now: Long): Map<Int, MachineHealth> {
         val record = jobs[job] ?: return emptyMap()
-        val cleared = if (record.health == JobHealth.SUSPECTED) clearCharges(job, now) else emptyMap()
+        val cleared = if (record.health == JobHealth.SUSPECTED) clearUnattributed(job, now) else emptyMap()
         if (record.unhealthy) version++
         jobs -= job
         return cleared
     }
 
-    private fun charge(job: Int, machine: Int, now: Long, quarantineMs: Long): Map<Int, MachineHealth> {
+    /** Records an unattributed failure of [job] on [machine]: the machine is quarantined, or faulty if several jobs failed there. */
+    private fun recordUnattributed(job: Int, machine: Int, now: Long, quarantineMs: Long): Map<Int, MachineHealth> {
         val record = machines.getOrPut(machine, ::MachineRecord)
-        record.chargedBy += job
+        record.unattributedJobs += job
         record.quarantinedUntil = maxOf(record.quarantinedUntil, now + quarantineMs)
-        val faulty = record.chargedBy.count { !failing(it) } >= JOBS_TO_FAIL_MACHINE
+        val faulty = record.unattributedJobs.count { !failing(it) } >= FAULTY_MACHINE_MIN_JOBS
         return enter(machine, if (faulty) MachineHealth.FAULTY else MachineHealth.QUARANTINED, now)
     }
 
-    /** [job] is at fault, or has ended: the machines charged with its failures alone are not. */
-    private fun clearCharges(job: Int, now: Long): Map<Int, MachineHealth> {
+    /** Clears the machines that are suspected for the failures of [job] alone, since the job is at fault or has ended. */
+    private fun clearUnattributed(job: Int, now: Long): Map<Int, MachineHealth> {
         val cleared = HashMap<Int, MachineHealth>()
         for ((index, record) in machines) {
-            if (!record.chargedBy.remove(job)) continue
-            if (record.health != MachineHealth.QUARANTINED || record.chargedBy.isNotEmpty()) continue
+            if (!record.unattributedJobs.remove(job)) continue
+            if (record.health != MachineHealth.QUARANTINED || record.unattributedJobs.isNotEmpty()) continue
             cleared += enter(index, MachineHealth.HEALTHY, now)
         }
         return cleared
     }
 
-    /** The only function that changes a machine's health; a faulty machine never recovers. Returns the change, if there is one. */
+    /** Changes a machine's health; no other function does. A faulty machine never recovers. Returns the change, if there is one. */
     private fun enter(machine: Int, next: MachineHealth, now: Long): Map<Int, MachineHealth> {
         val record = machines.getOrPut(machine, ::MachineRecord)
         if (record.health == MachineHealth.FAULTY) return emptyMap()
@@ -203,59 +213,66 @@
         return mapOf(machine to next)
     }
 
-    /** Changes a job's health. */
+    /** Changes a job's health; besides this function, only [restore] does. */
     private fun enter(record: JobRecord, next: JobHealth) {
         if (record.health == next) return
         record.health = next
-        record.tries = 0
+        record.retries = 0
         record.restoredMachines = 0
         version++
     }
 
-    /** The next backoff: doubled with each retry, not with each of the tasks that were retried together. */
-    private fun nextPause(record: JobRecord, now: Long): Long {
-        if (now - record.triedAt > SAME_RETRY_MS) {
-            record.tries++
+    /** The next backoff in milliseconds. It doubles with each retry, not with each of the tasks that were retried together. */
+    private fun nextBackoffMs(record: JobRecord, now: Long): Long {
+        if (now - record.retriedAt > SAME_RETRY_MS) {
+            record.retries++
             version++
         }
-        record.triedAt = now
-        return pauseMs(record.tries)
+        record.retriedAt = now
+        return backoffMs(record.retries)
     }
 
-    private fun pauseMs(tries: Int): Long = minOf(FIRST_PAUSE_MS shl tries.coerceAtMost(MAX_DOUBLINGS), maxPauseMs)
+    /** The backoff in milliseconds after the given number of [retries]. */
+    private fun backoffMs(retries: Int): Long = minOf(INITIAL_BACKOFF_MS shl retries.coerceAtMost(MAX_DOUBLINGS), maxBackoffMs)
 
-    /** What the next leader gets: failing jobs first. [nameOf] gives the job's name, or null if it has ended. */
+    /**
+     * The checkpoint for the next leader: failing jobs before suspected ones. [nameOf] gives a job's name, or null if the job has
+     * ended; [wallOffset] converts monotonic to wall-clock milliseconds.
+     */
     fun checkpoint(wallOffset: Long, nameOf: (Int) -> String?): List<JobFailureCheckpoint> =
         jobs.entries
             .filter { it.value.unhealthy }
             .sortedByDescending { it.value.health }
-            .take(MAX_CHECKPOINTS)
+            .take(MAX_CHECKPOINT_JOBS)
             .mapNotNull { (index, record) ->
                 val name = nameOf(index) ?: return@mapNotNull null
                 val failing = record.health == JobHealth.FAILING
-                JobFailureCheckpoint(name, failing, record.tries, record.machineCount, record.failingSince + wallOffset)
+                JobFailureCheckpoint(name, failing, record.retries, record.machineCount, record.failingSince + wallOffset)
             }
 
-    /** Restores what an earlier leader knew of [job]. Returns for how many milliseconds it still has to back off. */
+    /** Restores the health that an earlier leader recorded for [job]. Returns the job's backoff in milliseconds. */
     fun restore(job: Int, checkpoint: JobFailureCheckpoint, wallOffset: Long): Long {
         val record = jobs.getOrPut(job, ::JobRecord)
         record.health = if (checkpoint.failing) JobHealth.FAILING else JobHealth.SUSPECTED
-        record.tries = checkpoint.tries
+        record.retries = checkpoint.tries
         record.restoredMachines = checkpoint.machines
         record.failingSince = checkpoint.sinceWall - wallOffset
-        return if (checkpoint.failing) pauseMs(record.tries) else 0
+        return if (checkpoint.failing) backoffMs(record.retries) else 0
     }
 
     companion object {
-        /** On so many machines a job has to fail to be failing: that two are faulty at once is rare. */
-        const val MACHINES_TO_FAIL_JOB = 3
+        /** The number of machines on which a job has to fail to be failing: two machines that are faulty at once are rare. */
+        const val FAILING_JOB_MIN_MACHINES = 3
 
-        /** So many jobs, not known to fail elsewhere, have to fail on a machine for it to be faulty. */
-        const val JOBS_TO_FAIL_MACHINE = 2
+        /** The number of jobs, not known to fail elsewhere, that have to fail on a machine for the machine to be faulty. */
+        const val FAULTY_MACHINE_MIN_JOBS = 2
 
-        /** Jobs in a checkpoint, whose stored value is bounded. */
-        const val MAX_CHECKPOINTS = 20
-        private const val FIRST_PAUSE_MS = 500L
+        /** The most jobs in a checkpoint, whose stored value is bounded in size. */
+        const val MAX_CHECKPOINT_JOBS = 20
+
+        private const val INITIAL_BACKOFF_MS = 500L
+
+        /** Bounds the shift by which the backoff grows. */
         private const val MAX_DOUBLINGS = 10
 
         /** Failures within this time belong to one retry. */
--- a/src/main/kotlin/org/honeyjunction/core/fairness/FairnessMonitor.kt
+++ b/src/main/kotlin/org/honeyjunction/core/fairness/FairnessMonitor.kt
@@ -1,26 +1,26 @@
 package org.honeyjunction.core.fairness
 
-/** The jobs whose share is counted together: those of a class, of a team, or those of a class of about one size. */
+/** Jobs whose served share is counted together: the jobs of a class, of a team, or of a class with about the same number of tasks. */
 data class FairnessGroup(val of: Of, val name: String) {
-    /** The names are stored. */
+    /** What the jobs of a group have in common. The names are stored in checkpoints. */
     enum class Of { CLASS, TEAM, SIZE }
 
     override fun toString() =
         if (of == Of.SIZE) "class $sizeClass's largest, of $minTasks tasks and more" else "${of.name.lowercase()} $name"
 
-    /** Of a [Of.SIZE] group: its job class. */
+    /** The job class of a group by [Of.SIZE]. */
     private val sizeClass get() = name.substringBeforeLast(SIZE_SEPARATOR)
 
-    /** Of a [Of.SIZE] group: the fewest tasks of its jobs. */
+    /** The lower bound on the number of tasks of the jobs in a group by [Of.SIZE]. */
     private val minTasks get() = name.substringAfterLast(SIZE_SEPARATOR)
 
     companion object {
         private const val SIZE_SEPARATOR = '/'
 
-        /** Sizes are grouped by powers of two. */
+        /** The group of the jobs of [jobClass] with about as many [tasks]: sizes are grouped by powers of two. */
         fun ofSize(jobClass: String, tasks: Int) = FairnessGroup(Of.SIZE, "$jobClass$SIZE_SEPARATOR${tasks.takeHighestOneBit()}")
 
-        /** The largest size of each class that has several: for a class of one size, the class itself says as much. */
+        /** The group of the largest size of each class that has several sizes; for a class with one size, the class group suffices. */
         fun largest(all: Set<FairnessGroup>): Set<FairnessGroup> =
             all
                 .filter { it.of == Of.SIZE }
@@ -31,23 +31,26 @@
     }
 }
 
-/** Jobs of one group: [accepted] ones that have had time to start, how many of those [started], and how many are [done]. */
+/** The job counts of one group: jobs [accepted] that have had time to start, how many of them [started], and how many are [done]. */
 data class ServedCount(val accepted: Int, val started: Int, val done: Int) {
+    /** The sum of both counts. */
     operator fun plus(other: ServedCount) = ServedCount(accepted + other.accepted, started + other.started, done + other.done)
 
     /** Whether the group is starved: fewer than half of at least [MIN_ACCEPTED] jobs were started. */
     val starved get() = accepted >= MIN_ACCEPTED && started * 2 < accepted
 
     companion object {
+        /** The count of a group without jobs. */
         val NONE = ServedCount(0, 0, 0)
 
-        /** Fewer jobs than this are too small a sample. */
+        /** With fewer accepted jobs, the sample is too small for a group to count as starved. */
         const val MIN_ACCEPTED = 4
     }
 }
 
-/** A job as it counts: its groups, whether one of its tasks has ever run, and for how many milliseconds it has been accepted. */
+/** A job as counted by [FairnessMonitor]: its groups, whether any of its tasks has run, and the milliseconds since its acceptance. */
 class CountedJob(jobClass: String, team: String, val started: Boolean, val ageMs: Long, tasks: Int = 1) {
+    /** The groups that the job counts in. */
     val groups =
         listOf(
             FairnessGroup(FairnessGroup.Of.CLASS, jobClass),
@@ -57,14 +60,14 @@
 }
 
 /**
- * Monitors the share of jobs served in each class and each team: of the jobs that were accepted and have had [graceMs] to start,
- * how many have. Ended jobs are summed up and checkpointed for later leaders; the others are counted anew each time, so that a
- * failover counts no job twice. A job that its user cancelled within [graceMs] does not count.
+ * Monitors the share of jobs served in each class and each team: how many of the jobs accepted at least [graceMs] ago have started.
+ * The counts of ended jobs are accumulated and checkpointed for later leaders; active jobs are counted on each query, so that a
+ * failover counts no job twice. A job that its user cancelled before it started and within [graceMs] does not count.
  */
 class FairnessMonitor(private val graceMs: Long) {
     private val endedCounts = HashMap<FairnessGroup, ServedCount>()
 
-    /** [job] has ended: it is [done], or was cancelled. */
+    /** Records that [job] has ended: it is [done], or was cancelled. */
     fun recordEnded(job: CountedJob, done: Boolean) {
         if (!done && !job.started && job.ageMs < graceMs) return
         val count = ServedCount(1, if (job.started || done) 1 else 0, if (done) 1 else 0)
@@ -82,13 +85,13 @@
         return withoutSmallerSizes(all)
     }
 
-    /** [all] without the sizes that are not the largest of their class. */
+    /** Removes the size groups from [all] that are not the largest of their class. */
     private fun withoutSmallerSizes(all: Map<FairnessGroup, ServedCount>): Map<FairnessGroup, ServedCount> {
         val largest = FairnessGroup.largest(all.keys)
         return all.filterKeys { it.of != FairnessGroup.Of.SIZE || it in largest }
     }
 
-    /** What the next leader gets: the counts of ended jobs, of the largest groups if there are very many. */
+    /** The checkpoint for the next leader: the counts of ended jobs, limited to the groups with most jobs. */
     fun checkpoint(): Map<FairnessGroup, ServedCount> =
         withoutSmallerSizes(endedCounts)
             .entries
@@ -96,7 +99,7 @@
             .take(MAX_CHECKPOINT_GROUPS)
             .associate { it.key to it.value }
 
-    /** Adds the counts of an earlier leader. */
+    /** Adds the counts in the [checkpoint] of an earlier leader. */
     fun restore(checkpoint: Map<FairnessGroup, ServedCount>) =
         checkpoint.forEach { (group, count) -> endedCounts.merge(group, count, ServedCount::plus) }
 
--- a/src/test/kotlin/org/honeyjunction/core/boot/BootTimesTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/boot/BootTimesTest.kt
@@ -9,7 +9,10 @@
 class BootTimesTest {
     private val kind = InstanceKind(0, 0, false)
 
-    /** Machines of nominal 30 s that came up, as the second rented and seconds to boot; then one that was rented at 100 s is assessed. */
+    /**
+     * Each observation `rented-took` is a machine with a nominal boot time of 30 s, rented at that second, that took that many seconds
+     * to boot. Then a machine that was rented at 100 s is assessed.
+     */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
         "nothing observed; recently rented,                           '',                                      150, EXPECTED",
@@ -29,9 +32,9 @@
         "but not before its nominal time,                             '0-1 1-1 2-1 3-1 4-1 5-1 6-1 7-1 8-1 9-1 10-1 11-1 12-1 13-1 " +
             "14-1 15-1 16-1 17-1 18-1 19-1', 128, EXPECTED",
     )
-    fun `the progress of a boot`(case: String, seen: String, nowS: Long, progress: BootProgress) {
+    fun `the progress of a boot`(case: String, observed: String, nowS: Long, progress: BootProgress) {
         val boots = BootTimes()
-        val observations = seen.split(' ').filter { it.isNotEmpty() }.map { it.split('-').map(String::toLong) }
+        val observations = observed.split(' ').filter { it.isNotEmpty() }.map { it.split('-').map(String::toLong) }
         observations.forEach { (rentedS, tookS) -> boots.recordBoot(kind, rentedS * 1000, (rentedS + tookS) * 1000) }
         assertEquals(progress, boots.assess(kind, 100_000, 30_000, 5_000, nowS * 1000), case)
     }
@@ -45,13 +48,13 @@
         assertTrue(checkpoint.medianMs in 118_000..122_000 && checkpoint.lateMs in 118_000..122_000, "$checkpoint")
         val next = BootTimes(windowMs = 60_000)
         next.restore(kind, checkpoint, 0)
-        assertTrue(next.lateMs(kind, 30_000) in 140_000..160_000, "${next.lateMs(kind, 30_000)}")
+        assertTrue(next.lateThresholdMs(kind, 30_000) in 140_000..160_000, "${next.lateThresholdMs(kind, 30_000)}")
         for (minute in 1L..3) {
             for (i in 0L until 30) {
                 val rentedAt = minute * 60_000 + i * 100
                 next.recordBoot(kind, rentedAt, rentedAt + 30_000)
             }
         }
-        assertTrue(next.lateMs(kind, 30_000) in 35_000..40_000, "${next.lateMs(kind, 30_000)}")
+        assertTrue(next.lateThresholdMs(kind, 30_000) in 35_000..40_000, "${next.lateThresholdMs(kind, 30_000)}")
     }
 }
--- a/src/test/kotlin/org/honeyjunction/core/capacity/CapacityPlannerTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/capacity/CapacityPlannerTest.kt
@@ -20,15 +20,15 @@
         TaskRow(1, task, 0, Priority.NORMAL, 0, Resources(1.0, 1.0, 1.0), 0, 5.0, -1, -1, spot, false, 0, true)
 
     @Test
-    fun `an empty machine is kept for a gang, though an array came first`() {
+    fun `an empty machine is reserved for a gang although an array arrived first`() {
         val gang = row(0, false).copy(job = 2, need = size, gangOf = 1)
         val waiting = listOf(Wanted(row(0, false), 4), Wanted(gang, 1))
         val plan = CapacityPlanner(types) { false }.plan(waiting, emptyList(), listOf(Bin(7, ordinary, size, true)), emptyMap())
-        assertEquals(mapOf(7 to 2), plan.held)
-        assertEquals(1, plan.rent.values.sum())
+        assertEquals(mapOf(7 to 2), plan.reservedForJob)
+        assertEquals(1, plan.instancesToRent.values.sum())
     }
 
-    /** Found by the simulation search: a gang shorter than a boot waited for ever for the capacity that its own first task would free. */
+    /** Guards against a gang that runs for less time than a boot waiting forever for the capacity that its own first task would free. */
     @ParameterizedTest(name = "a gang of {0} that runs {1} s, one task on each of {2} machines: {3} rented")
     @CsvSource("2, 2, 1, 1", "2, 200, 1, 1", "2, 2, 2, 0", "4, 5, 2, 2")
     fun `the tasks of a gang run at the same time`(tasks: Int, runS: Double, machines: Int, rented: Int) {
@@ -38,12 +38,12 @@
         val arrayTasks = if (runS < 100) machines else 0
         val waiting = listOf(Wanted(gang, tasks, runS), Wanted(array, arrayTasks, 50.0))
         val plan = CapacityPlanner(types) { false }.plan(waiting, emptyList(), bins, emptyMap())
-        assertEquals(rented, plan.rent.values.sum(), "others may use what the gang frees soon")
+        assertEquals(rented, plan.instancesToRent.values.sum(), "other jobs may use the capacity that the gang frees soon")
     }
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        "what fits into free capacity rents nothing,         4, 0, true,  4,  0, false, 0,",
+        "tasks that fit into free capacity rent nothing,     4, 0, true,  4,  0, false, 0,",
         "four more fit one machine,                          5, 0, true,  4,  0, false, 1,",
         "expected tasks are rented for,                      0, 8, true,  4,  0, false, 1,",
         "capacity freed before a new instance would be up,   8, 0, true,  4, 25, false, 0,",
@@ -51,33 +51,33 @@
         "refused offers leave the task unmet,                8, 0, true,  4,  0, true,  0,",
         "a bin serves short tasks one after the other,       12, 0, true,  4, 15, false, 0, 12",
         "but not longer ones,                                12, 0, true,  4, 15, false, 1, 31",
-        "no spot machine for what may not use it,            4, 0, false, 0,  0, false, 1,",
+        "no spot instance for tasks that may not use one,    4, 0, false, 0,  0, false, 1,",
     )
     fun `instances are rented only for tasks without other capacity`(
         name: String,
         waiting: Int,
         expected: Int,
-        maySpot: Boolean,
+        spotAllowed: Boolean,
         free: Int,
-        leavesIn: Double,
+        freedInS: Double,
         refused: Boolean,
         machines: Int,
         runS: Double?,
     ) {
-        val leaving = if (leavesIn > 0) listOf(UpcomingCapacity(leavesIn, size)) else emptyList()
-        val bin = Bin(7, spot, Resources(free * 1.0, free * 1.0, free * 1.0), true, leaving)
+        val upcoming = if (freedInS > 0) listOf(UpcomingCapacity(freedInS, size)) else emptyList()
+        val bin = Bin(7, spot, Resources(free * 1.0, free * 1.0, free * 1.0), true, upcoming)
         val plan =
             CapacityPlanner(types) { refused }.plan(
-                listOf(Wanted(row(0, maySpot), waiting, runS)).filter { it.count > 0 },
-                listOf(Expected(Wanted(row(0, maySpot), expected), atOnce = true)),
+                listOf(Wanted(row(0, spotAllowed), waiting, runS)).filter { it.count > 0 },
+                listOf(ExpectedDemand(Wanted(row(0, spotAllowed), expected), hasStartObjective = true)),
                 listOf(bin),
                 emptyMap(),
             )
-        assertEquals(machines, plan.rent.values.sum(), name)
-        assertEquals(if (machines == 0) emptySet() else setOf(maySpot), plan.rent.keys.mapTo(HashSet()) { it.spot })
+        assertEquals(machines, plan.instancesToRent.values.sum(), name)
+        assertEquals(if (machines == 0) emptySet() else setOf(spotAllowed), plan.instancesToRent.keys.mapTo(HashSet()) { it.spot })
         assertEquals(if (refused) 1 else 0, plan.unmet.size)
-        assertEquals(maySpot, 7 in plan.keep, "the machine at hand is kept for what it can take")
-        assertEquals(false, ordinary in plan.rent && maySpot)
+        assertEquals(spotAllowed, 7 in plan.machinesToKeep, "the present machine is kept if the tasks may run on it")
+        assertEquals(false, ordinary in plan.instancesToRent && spotAllowed)
     }
 
     @ParameterizedTest(name = "scale-out too slow: {0}")
@@ -86,16 +86,16 @@
         val plan =
             CapacityPlanner(types) { false }.plan(
                 emptyList(),
-                listOf(Expected(Wanted(row(0, true), 2), atOnce = true, tooSlow)),
+                listOf(ExpectedDemand(Wanted(row(0, true), 2), hasStartObjective = true, tooSlow)),
                 listOf(Bin(7, spot, size, true)),
                 emptyMap(),
             )
-        assertEquals(reserved, plan.reserved.toString())
+        assertEquals(reserved, plan.reservedForArrivals.toString())
     }
 
     /**
-     * Work of the lowest priority that has capacity in the plan must be able to start there: the priority floor of a reserved
-     * machine would keep it waiting.
+     * Work of the lowest priority that is planned on a machine must be able to start there: the priority floor of a reserved machine
+     * would keep this work waiting.
      */
     @ParameterizedTest(name = "{0} waits: reserved {1}")
     @CsvSource("LOW, '[]'", "NORMAL, '[7]'")
@@ -104,10 +104,10 @@
         val plan =
             CapacityPlanner(types) { false }.plan(
                 listOf(waiting),
-                listOf(Expected(Wanted(row(0, true), 2), atOnce = true, scaleOutTooSlow = true)),
+                listOf(ExpectedDemand(Wanted(row(0, true), 2), hasStartObjective = true, scaleOutTooSlow = true)),
                 listOf(Bin(7, spot, size, true)),
                 emptyMap(),
             )
-        assertEquals(reserved, plan.reserved.toString())
+        assertEquals(reserved, plan.reservedForArrivals.toString())
     }
 }
--- a/src/test/kotlin/org/honeyjunction/core/control/machines/DelayedHeartbeatsTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/control/machines/DelayedHeartbeatsTest.kt
@@ -29,12 +29,13 @@
 import org.junit.jupiter.params.provider.EnumSource
 
 /**
- * Delayed heartbeats of a worker reach a new leader among its new ones, the answers to commands and the expiry of its lease, in
- * every order of four. The leader is the real one, and the workers are the fakes of the simulation. A second machine has free
- * capacity, on which a task that is wrongly believed to be gone would be started.
+ * Explores every sequence of four events in which delayed heartbeats of a worker reach a new leader between current heartbeats,
+ * answers to commands and the expiry of the worker's lease. Guards against a leader that takes a delayed heartbeat as proof that a
+ * task is gone and starts the task a second time. The leader is the real one, and the workers are the fakes of the simulation. A
+ * second machine has the free capacity for such a second start.
  */
 class DelayedHeartbeatsTest {
-    /** The state of the task on the worker, started by the former leader, whose journal pages name only the second attempt. */
+    /** The state on the worker of the task that the former leader started; its journal names only the second attempt. */
     enum class Case { RUNNING, STARTED_LATE, ENDED, CANCELLED, NEXT_SESSION, NEXT_SESSION_STARTED_LATE }
 
     private enum class Action { OLDEST, OLD, LATEST_COPY, REPORT, REPORT_UNANSWERED, COMMAND, COMMAND_UNANSWERED, START_ARRIVES, LEASE }
@@ -121,8 +122,8 @@
         private fun command(command: Command) = check(worker.command(FORMER, worker.session, listOf(command), now))
 
         /**
-         * Time passes: the heartbeats of the other machine are answered, and every effect of the leader that does not concern the
-         * first machine is carried out at once.
+         * Advances the time by [ms]: the heartbeats of the second machine are answered, and every effect of the leader that does not
+         * concern the first machine is carried out at once.
          */
         private fun pass(ms: Long) {
             val end = now + ms
@@ -173,7 +174,7 @@
 
         private fun check() = checker.check(workers, now)
 
-        /** Returns false if [action] is not possible now. */
+        /** Performs [action]; returns false if [action] is not possible now. */
         fun act(action: Action): Boolean {
             when (action) {
                 Action.OLDEST, Action.OLD, Action.LATEST_COPY -> leader.answerHeartbeat(delayed[action.ordinal], now)
@@ -196,7 +197,7 @@
             return true
         }
 
-        /** The faults end: the worker's heartbeats are answered, and the delayed start arrives. */
+        /** Ends all faults: the worker's heartbeats are answered, and the delayed start command arrives. Then checks the outcome. */
         fun recover() {
             act(Action.START_ARRIVES)
             repeat(6) {
@@ -211,7 +212,7 @@
                     Case.ENDED -> JobStage.DONE
                     else -> JobStage.ACTIVE
                 }
-            // A task whose end was not reported before the lease expired is not known to have ended.
+            // If the lease expired before the task's end was reported, the leader cannot know of the end.
             val endLost = case == Case.ENDED && done == JobStage.ACTIVE
             val wrongStage = done != expected && !endLost
             val liveAfterEnd = done != JobStage.ACTIVE && live > 0
@@ -222,39 +223,42 @@
     }
 
     private fun explore(case: Case, depth: Int): Pair<Int, List<String>> {
-        var plays = 0
-        val found = ArrayList<String>()
+        var runs = 0
+        val violations = ArrayList<String>()
         val path = ArrayList<Action>()
 
-        fun go() {
+        fun explorePath() {
             val run = Run(case)
             if (!path.all(run::act)) return
-            plays++
+            runs++
             if (path.size == depth) run.recover()
             if (run.broken.isNotEmpty()) {
-                found += "$path: ${run.broken}"
+                violations += "$path: ${run.broken}"
             } else if (path.size < depth) {
                 for (action in Action.entries) {
                     if (action in path && action < Action.REPORT) continue
                     path += action
-                    go()
+                    explorePath()
                     path.removeLast()
                 }
             }
         }
-        go()
-        return plays to found
+        explorePath()
+        return runs to violations
     }
 
     @ParameterizedTest
     @EnumSource
     fun `no order of delayed heartbeats, new ones, command answers and a lease expiry breaks a rule`(case: Case) {
-        val (plays, found) = explore(case, 4)
-        assertTrue(plays > 1_000)
-        assertEquals(emptyList<String>(), found.take(3), "${found.size} of $plays")
+        val (runs, violations) = explore(case, 4)
+        assertTrue(runs > 1_000)
+        assertEquals(emptyList<String>(), violations.take(3), "${violations.size} of $runs")
     }
 
-    /** It may come from a machine that is gone by now: tasks would be sent there, and wait for a proof that they are not. */
+    /**
+     * A heartbeat with an old fencing token may come from a machine that is gone by now. Tasks sent there would wait for a proof that
+     * they are gone.
+     */
     @Test
     fun `nothing is started on a machine that has not acknowledged this term`() {
         val recovered = RecoveredState(listOf(StoredJob(job("j-1"), "n", 0, 9, JobStage.ACTIVE)), emptyList(), emptyList())
--- a/src/test/kotlin/org/honeyjunction/core/failures/FailureAttributionTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/failures/FailureAttributionTest.kt
@@ -11,8 +11,8 @@
 
 class FailureAttributionTest {
     /**
-     * `f job task machine`, `s job machine` (a task finished), `o job` (ended), `w ms` (time passes); then the health of
-     * jobs 1 and 2 and of machines 1 to 3.
+     * Events are `f job task machine` (a task failed), `s job machine` (a task finished), `o job` (the job ended) and `w ms` (time
+     * passes); the expected values are the health of jobs 1 and 2 and of machines 1 to 3.
      */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
@@ -87,7 +87,7 @@
         assertEquals(JobFailures(8, 0L), next.failures(7))
     }
 
-    /** Whatever happens in whatever order: a bad job alone never makes a machine faulty. */
+    /** A job that fails everywhere must not make a machine faulty, in whatever order its tasks fail. */
     @Property(tries = 500)
     fun `one job that always fails makes no machine faulty`(
         @ForAll @Size(max = 60) on: List<Byte>,
@@ -96,10 +96,10 @@
         on.forEachIndexed { i, m -> attribution.failed(1, i % 7, Math.floorMod(m.toInt(), 20), i * 500L, 10_000) }
         assertTrue((0 until 20).none { attribution.machineHealth(it, on.size * 500L) == MachineHealth.FAULTY })
         val quarantined = (0 until 20).count { attribution.machineHealth(it, on.size * 500L) == MachineHealth.QUARANTINED }
-        assertTrue(quarantined <= FailureAttribution.MACHINES_TO_FAIL_JOB - 1)
+        assertTrue(quarantined <= FailureAttribution.FAILING_JOB_MIN_MACHINES - 1)
     }
 
-    /** One bad machine among good ones, jobs that come one after the other: it is found after two of them, and no job is. */
+    /** One faulty machine among healthy ones, with jobs that run one after the other: no job is taken to be failing. */
     @Property(tries = 300)
     fun `one faulty machine makes no job failing`(
         @ForAll @Size(max = 60) at: List<Byte>,
--- a/src/test/kotlin/org/honeyjunction/core/fairness/FairnessMonitorTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/fairness/FairnessMonitorTest.kt
@@ -18,12 +18,12 @@
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // case, so many have started, wait since recently, wait for long; accepted, started, starved
+        // case; jobs that have started, that have waited briefly, that have waited long; expected: accepted, started, starved
         "all started,                        4, 0, 0, 4, 4, false",
         "recent ones do not count yet,       3, 9, 0, 3, 3, false",
         "more than half waited for long,     3, 0, 4, 7, 3, true",
         "half of them is enough,             4, 0, 4, 8, 4, false",
-        "a few jobs say nothing,             0, 0, 3, 3, 0, false",
+        "a few jobs are too few to tell,     0, 0, 3, 3, 0, false",
     )
     fun `the served share of a class`(case: String, started: Int, recent: Int, old: Int, accepted: Int, ran: Int, starved: Boolean) {
         val served = FairnessMonitor(10_000)
@@ -32,12 +32,12 @@
         assertEquals(listOf(accepted, ran, starved), listOf(count.accepted, count.started, count.starved), case)
     }
 
-    /** Small jobs that are all served do not hide the large ones that never start. */
+    /** Small jobs that are all served must not hide large jobs of the same class that never start. */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
         "the largest never start,      5, 0, true",
         "half of the largest do,       2, 2, false",
-        "a few of them say nothing,    3, 0, false",
+        "too few of them to tell,      3, 0, false",
     )
     fun `the largest jobs of a class count by themselves`(case: String, waiting: Int, started: Int, starved: Boolean) {
         val jobs =
@@ -77,7 +77,7 @@
 
     @Test
     fun `a leader checkpoint is read as it was written, and fits into the smallest value`() {
-        val marks =
+        val checkpoint =
             LeaderCheckpoint(
                 List(20) { JobFailureCheckpoint("j-%06d".format(it), it % 2 == 0, it, 9, 1_764_630_000_000) },
                 List(12) { BootTimeCheckpoint("boveda-24g", "ciudad-vieja", it % 2 == 0, 20, 25_000, 42_000) },
@@ -86,8 +86,8 @@
                         ServedCount(300, 200, 100)
                 },
             )
-        val bytes = Json.write(CheckpointCodec.writeLeader(marks))
-        assertEquals(marks, CheckpointCodec.readLeader(Json.read(bytes)))
+        val bytes = Json.write(CheckpointCodec.writeLeader(checkpoint))
+        assertEquals(checkpoint, CheckpointCodec.readLeader(Json.read(bytes)))
         assertTrue(bytes.size <= 4096, "${bytes.size} bytes")
         assertEquals(LeaderCheckpoint(), CheckpointCodec.readLeader(Json.read(Json.write(CheckpointCodec.writeLeader(LeaderCheckpoint())))))
     }
