--- a/src/main/kotlin/org/honeyjunction/core/capacity/CapacityPlan.kt
+++ b/src/main/kotlin/org/honeyjunction/core/capacity/CapacityPlan.kt
@@ -4,7 +4,7 @@
 import org.honeyjunction.core.rules.RuleTable
 
 /** [count] tasks like [sample], each of which runs for [runS] seconds by its owner's estimate; null if it runs without end. */
-class Wanted(val sample: TaskRow, val count: Int, val runS: Double? = null)
+class TaskDemand(val sample: TaskRow, val count: Int, val runS: Double? = null)
 
 /**
  * Restricts scale-out by placement rules. [mayRent] says whether a new instance of an offer certainly meets every mandatory rule of
--- a/src/main/kotlin/org/honeyjunction/core/capacity/CapacityPlanner.kt
+++ b/src/main/kotlin/org/honeyjunction/core/capacity/CapacityPlanner.kt
@@ -41,14 +41,14 @@
          * the tasks of a gang run at the same time. A gang task planned on capacity that another task of the same gang frees would
          * never start, and no instance would be rented for it.
          */
-        fun take(bin: Bin, demand: Wanted, runS: Double?, fromS: Double = 0.0) {
+        fun take(bin: Bin, demand: TaskDemand, runS: Double?, fromS: Double = 0.0) {
             val gang = demand.sample.gangOf > 0
             bin.take(demand.sample, runS.takeUnless { gang }, fromS)
             if (gang && runS != null) freedAfterGang += bin to fromS + runS
         }
 
         /** Ends the planning of [demand]: the capacity that its gang tasks will free becomes available to later demands. */
-        fun complete(demand: Wanted) {
+        fun complete(demand: TaskDemand) {
             freedAfterGang.forEach { (bin, atS) -> bin.addUpcoming(demand.sample.need, atS) }
             freedAfterGang.clear()
         }
@@ -64,11 +64,11 @@
      * Plans the capacity for the [waiting] and the [expected] tasks on [bins], which it changes. [machinesByZone] counts the present
      * machines of each zone, for balancing.
      */
-    fun plan(waiting: List<Wanted>, expected: List<ExpectedDemand>, bins: List<Bin>, machinesByZone: Map<Int, Int>): CapacityPlan {
+    fun plan(waiting: List<TaskDemand>, expected: List<ExpectedDemand>, bins: List<Bin>, machinesByZone: Map<Int, Int>): CapacityPlan {
         val draft = Draft(bins, machinesByZone)
         val unmet = ArrayList<TaskRow>()
         // Within a priority, gangs go first: they need whole machines, which other tasks would fragment.
-        val order = compareByDescending<Wanted> { it.sample.priority }.thenByDescending { it.sample.gangOf > 0 }
+        val order = compareByDescending<TaskDemand> { it.sample.priority }.thenByDescending { it.sample.gangOf > 0 }
         for (demand in waiting.sortedWith(order)) {
             val zone = if (demand.sample.oneZone) bestZone(demand, draft) else null
             val notFree = useFree(demand, zone, draft)
@@ -85,7 +85,7 @@
     }
 
     /** The zone for a job bound to one zone: where most of its tasks fit; among equals, where instances can be rented for the rest. */
-    private fun bestZone(demand: Wanted, draft: Draft): Int? {
+    private fun bestZone(demand: TaskDemand, draft: Draft): Int? {
         val sample = demand.sample
         val fitsIn = HashMap<Int, Int>()
         for (bin in draft.bins) {
@@ -108,7 +108,7 @@
      * Places tasks on free capacity, on partly used machines first, so that empty machines can be released. If [reserve], reserves the
      * machines used, except those planned for work of the lowest priority. Returns the number of tasks left.
      */
-    private fun useFree(demand: Wanted, zone: Int?, draft: Draft, reserve: Boolean = false): Int {
+    private fun useFree(demand: TaskDemand, zone: Int?, draft: Draft, reserve: Boolean = false): Int {
         val sample = demand.sample
         if (demand.count <= 0 || draft.withoutFreeCapacity.covers(sample, zone)) return demand.count
         var left = demand.count
@@ -141,7 +141,7 @@
      * Places [count] tasks on capacity that is freed before an instance rented now could have booted and fetched the image. Within
      * that time, several short tasks may use the same capacity one after the other. Returns the number of tasks left.
      */
-    private fun useUpcoming(demand: Wanted, count: Int, zone: Int?, draft: Draft): Int {
+    private fun useUpcoming(demand: TaskDemand, count: Int, zone: Int?, draft: Draft): Int {
         if (count <= 0 || types.isEmpty()) return count
         val sample = demand.sample
         var left = count
@@ -166,7 +166,7 @@
     private fun readyS(type: MachineType, sample: TaskRow): Double = type.bootS + sample.imageGb / type.fetchGbPerS
 
     /** Plans to rent instances for [count] tasks. Returns the number of tasks for which there is no offer. */
-    private fun rent(demand: Wanted, count: Int, zone: Int?, draft: Draft): Int {
+    private fun rent(demand: TaskDemand, count: Int, zone: Int?, draft: Draft): Int {
         val sample = demand.sample
         var left = count
         while (left > 0) {
@@ -207,7 +207,7 @@
     }
 
     /** Takes capacity for up to [maxCount] tasks, as long as rules permit one more on [bin]. Returns the number of tasks placed. */
-    private fun take(bin: Bin, demand: Wanted, maxCount: Int, draft: Draft): Int {
+    private fun take(bin: Bin, demand: TaskDemand, maxCount: Int, draft: Draft): Int {
         var taken = 0
         while (taken < maxCount && bin.permits(demand.sample, rules)) {
             draft.take(bin, demand, demand.runS)
--- a/src/main/kotlin/org/honeyjunction/core/capacity/Forecast.kt
+++ b/src/main/kotlin/org/honeyjunction/core/capacity/Forecast.kt
@@ -9,19 +9,19 @@
  * [scaleOutTooSlow], an instance rented on arrival would miss the objective, so that machines are reserved from work of the lowest
  * priority.
  */
-class ExpectedDemand(val demand: Wanted, val hasStartObjective: Boolean, val scaleOutTooSlow: Boolean = false)
+class ExpectedDemand(val demand: TaskDemand, val hasStartObjective: Boolean, val scaleOutTooSlow: Boolean = false)
 
 /**
  * Forecasts the arrivals of each job class in the time that an instance takes to boot, from those in the last [windowMs]. Times
  * are monotonic milliseconds.
  */
 class Forecast(private val windowMs: Long) {
-    private class Arrival(val at: Long, val demand: Wanted)
+    private class Arrival(val at: Long, val demand: TaskDemand)
 
     private val arrivalsOf = HashMap<Int, ArrayDeque<Arrival>>()
 
     /** Records that the tasks of [demand], of [jobClass], arrived at [now]. */
-    fun recordArrival(jobClass: Int, demand: Wanted, now: Long) {
+    fun recordArrival(jobClass: Int, demand: TaskDemand, now: Long) {
         arrivalsOf.getOrPut(jobClass, ::ArrayDeque).addLast(Arrival(now, demand))
     }
 
@@ -41,7 +41,7 @@
                 while (arrivals.isNotEmpty() && arrivals.first().at < now - windowMs) arrivals.removeFirst()
                 val latest = arrivals.lastOrNull()?.demand ?: return@mapNotNull null
                 val count = ceil(usualCount(arrivals, now) * factor * horizonMs / windowMs).toInt()
-                val demand = Wanted(latest.sample, count, latest.runS)
+                val demand = TaskDemand(latest.sample, count, latest.runS)
                 ExpectedDemand(demand, hasStartObjective(jobClass), scaleOutTooSlow(jobClass, latest.sample))
             }.sortedByDescending { it.demand.sample.priority }
 
--- a/src/main/kotlin/org/honeyjunction/core/control/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/autoscaling/Autoscaler.kt
@@ -9,7 +9,7 @@
 import org.honeyjunction.core.capacity.Forecast
 import org.honeyjunction.core.capacity.Offer
 import org.honeyjunction.core.capacity.ScaleOutPolicy
-import org.honeyjunction.core.capacity.Wanted
+import org.honeyjunction.core.capacity.TaskDemand
 import org.honeyjunction.core.control.jobs.PendingQueue
 import org.honeyjunction.core.control.jobs.expectedRunS
 import org.honeyjunction.core.control.leader.ClusterState
@@ -66,7 +66,7 @@
         if (!forecasted.add(job.index)) return
         forecast.recordArrival(
             state.cluster.classes.index(job.spec.jobClass),
-            Wanted(queue.rows.template(job), job.spec.tasks, job.expectedRunS),
+            TaskDemand(queue.rows.template(job), job.spec.tasks, job.expectedRunS),
             job.createdAt.coerceAtMost(now),
         )
     }
@@ -141,7 +141,7 @@
     /** Whether no arrivals are expected, and all running and pending tasks fit on the other machines, without a new instance. */
     fun canSpare(machine: Machine, now: Long): Boolean {
         if (expected(now).isNotEmpty() || !scaleOut.none || state.machines.any { it.phase in UNSETTLED }) return false
-        val wanted = queue.demands(now) + machine.placements.values.map { Wanted(queue.rows.relocation(it.task, now), 1) }
+        val wanted = queue.demands(now) + machine.placements.values.map { TaskDemand(queue.rows.relocation(it.task, now), 1) }
         val others = bins(now).filter { it.machine != machine.index }
         val planner = CapacityPlanner(state.cluster.types, scaleOutPolicy()) { false }
         val plan = planner.plan(wanted, emptyList(), others, emptyMap())
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/MachineCapacity.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/MachineCapacity.kt
@@ -1,6 +1,6 @@
 package org.honeyjunction.core.control.jobs
 
-import org.honeyjunction.core.capacity.Wanted
+import org.honeyjunction.core.capacity.TaskDemand
 import org.honeyjunction.core.control.leader.ClusterState
 import org.honeyjunction.core.model.JobKind
 import org.honeyjunction.core.model.Machine
@@ -35,7 +35,7 @@
     }
 
     /** The machines that have room for one of [demands], or are expected to soon for one whose image they cache. */
-    fun usableFor(demands: List<Wanted>, now: Long): List<FreeCapacity> {
+    fun usableFor(demands: List<TaskDemand>, now: Long): List<FreeCapacity> {
         val images = demands.mapTo(HashSet()) { it.sample.image }
         return openMachines().mapNotNull { machine ->
             val cachesImage = machine.images.keys.any { it in images }
@@ -71,7 +71,7 @@
     private fun openMachines(): List<Machine> =
         state.machines.filter { it.acceptsTasks && it.address != null && it.type in state.cluster.types }
 
-    private fun fitsAny(machine: Machine, demands: List<Wanted>, now: Long): Boolean {
+    private fun fitsAny(machine: Machine, demands: List<TaskDemand>, now: Long): Boolean {
         val free = state.room(machine)
         val floor = machine.floorAt(now)
         return demands.any { it.sample.allows(machine.type, machine.zone, machine.spot, floor, free) }
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/PendingQueue.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/PendingQueue.kt
@@ -1,6 +1,6 @@
 package org.honeyjunction.core.control.jobs
 
-import org.honeyjunction.core.capacity.Wanted
+import org.honeyjunction.core.capacity.TaskDemand
 import org.honeyjunction.core.control.leader.ClusterState
 import org.honeyjunction.core.model.Job
 import org.honeyjunction.core.model.JobKind
@@ -19,7 +19,7 @@
     private val guarantees = GuaranteeMarker(state)
 
     /** The waiting tasks within the teams' limits, job by job in the order in which they are to start. */
-    fun demands(now: Long, owner: (Job) -> Boolean = { true }): List<Wanted> {
+    fun demands(now: Long, owner: (Job) -> Boolean = { true }): List<TaskDemand> {
         guarantees.refresh(now)
         val quotas = HashMap<Int, TeamQuota>()
         return state.active.values
@@ -30,14 +30,14 @@
     }
 
     /** Waiting jobs that only their team's limit keeps out of [demands]. */
-    fun beyondLimits(demands: List<Wanted>, now: Long): List<Wanted> {
+    fun beyondLimits(demands: List<TaskDemand>, now: Long): List<TaskDemand> {
         val wanted = demands.mapTo(HashSet()) { it.sample.job }
         return state.active.values
             .filter { it.index !in wanted && it.isPending(now) }
             .filter { it.spec.kind != JobKind.GANG || it.waiting.cardinality() == it.unfinished }
             .map {
                 val gangOf = if (it.spec.kind == JobKind.GANG) it.unfinished else 0
-                Wanted(rows.template(it).copy(gangOf = gangOf), it.waiting.cardinality())
+                TaskDemand(rows.template(it).copy(gangOf = gangOf), it.waiting.cardinality())
             }
     }
 
@@ -65,11 +65,11 @@
             .thenBy { it.createdAt }
 
     /** What of [job] may start now, with which [quota] is charged; null: nothing, or another controller is its [owner]. */
-    private fun demand(job: Job, now: Long, quota: TeamQuota, owner: (Job) -> Boolean): Wanted? {
+    private fun demand(job: Job, now: Long, quota: TeamQuota, owner: (Job) -> Boolean): TaskDemand? {
         val count = startableTasks(job, quota)
         if (count == 0 || !owner(job)) return null
         quota.admit(job, count)
-        return Wanted(rows.firstWaiting(job, now), count, job.expectedRunS)
+        return TaskDemand(rows.firstWaiting(job, now), count, job.expectedRunS)
     }
 
     private fun startableTasks(job: Job, quota: TeamQuota): Int {
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/TaskRows.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/TaskRows.kt
@@ -1,6 +1,6 @@
 package org.honeyjunction.core.control.jobs
 
-import org.honeyjunction.core.capacity.Wanted
+import org.honeyjunction.core.capacity.TaskDemand
 import org.honeyjunction.core.control.leader.ClusterState
 import org.honeyjunction.core.model.Job
 import org.honeyjunction.core.model.JobKind
@@ -64,7 +64,7 @@
      * may make better use of it. Cut by their order alone, the first rows may be such that no machine takes, and nothing
      * else would ever be considered. A gang that would be cut is left out, but not for being larger than the limit.
      */
-    fun select(demands: List<Wanted>, fitting: FirstFitEstimate, now: Long, limit: Int): List<TaskRow> {
+    fun select(demands: List<TaskDemand>, fitting: FirstFitEstimate, now: Long, limit: Int): List<TaskRow> {
         val rows = ArrayList<TaskRow>()
         val selected = IntArray(demands.size)
         demands.forEachIndexed { i, demand ->
@@ -82,7 +82,7 @@
     }
 
     /** Appends [count] rows for the job's waiting tasks after the first [skip]. */
-    private fun append(rows: MutableList<TaskRow>, demand: Wanted, skip: Int, count: Int, now: Long) {
+    private fun append(rows: MutableList<TaskRow>, demand: TaskDemand, skip: Int, count: Int, now: Long) {
         if (count <= 0) return
         val job = state.jobAt(demand.sample.job) ?: return
         var number = job.waiting.nextSetBit(0)
--- a/src/test/kotlin/org/honeyjunction/core/capacity/CapacityPlannerTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/capacity/CapacityPlannerTest.kt
@@ -22,7 +22,7 @@
     @Test
     fun `an empty machine is reserved for a gang although an array arrived first`() {
         val gang = row(0, false).copy(job = 2, need = size, gangOf = 1)
-        val waiting = listOf(Wanted(row(0, false), 4), Wanted(gang, 1))
+        val waiting = listOf(TaskDemand(row(0, false), 4), TaskDemand(gang, 1))
         val plan = CapacityPlanner(types) { false }.plan(waiting, emptyList(), listOf(Bin(7, ordinary, size, true)), emptyMap())
         assertEquals(mapOf(7 to 2), plan.reservedForJob)
         assertEquals(1, plan.instancesToRent.values.sum())
@@ -36,7 +36,7 @@
         val bins = List(machines) { Bin(it, ordinary, size, false) }
         val array = row(0, false).copy(job = 2, need = Resources(3.0, 3.0, 3.0))
         val arrayTasks = if (runS < 100) machines else 0
-        val waiting = listOf(Wanted(gang, tasks, runS), Wanted(array, arrayTasks, 50.0))
+        val waiting = listOf(TaskDemand(gang, tasks, runS), TaskDemand(array, arrayTasks, 50.0))
         val plan = CapacityPlanner(types) { false }.plan(waiting, emptyList(), bins, emptyMap())
         assertEquals(rented, plan.instancesToRent.values.sum(), "other jobs may use the capacity that the gang frees soon")
     }
@@ -68,8 +68,8 @@
         val bin = Bin(7, spot, Resources(free * 1.0, free * 1.0, free * 1.0), true, upcoming)
         val plan =
             CapacityPlanner(types) { refused }.plan(
-                listOf(Wanted(row(0, spotAllowed), waiting, runS)).filter { it.count > 0 },
-                listOf(ExpectedDemand(Wanted(row(0, spotAllowed), expected), hasStartObjective = true)),
+                listOf(TaskDemand(row(0, spotAllowed), waiting, runS)).filter { it.count > 0 },
+                listOf(ExpectedDemand(TaskDemand(row(0, spotAllowed), expected), hasStartObjective = true)),
                 listOf(bin),
                 emptyMap(),
             )
@@ -86,7 +86,7 @@
         val plan =
             CapacityPlanner(types) { false }.plan(
                 emptyList(),
-                listOf(ExpectedDemand(Wanted(row(0, true), 2), hasStartObjective = true, tooSlow)),
+                listOf(ExpectedDemand(TaskDemand(row(0, true), 2), hasStartObjective = true, tooSlow)),
                 listOf(Bin(7, spot, size, true)),
                 emptyMap(),
             )
@@ -100,11 +100,11 @@
     @ParameterizedTest(name = "{0} waits: reserved {1}")
     @CsvSource("LOW, '[]'", "NORMAL, '[7]'")
     fun `a machine that the plan uses for work of the lowest priority is not reserved`(priority: Priority, reserved: String) {
-        val waiting = Wanted(row(0, true).copy(priority = priority), 1)
+        val waiting = TaskDemand(row(0, true).copy(priority = priority), 1)
         val plan =
             CapacityPlanner(types) { false }.plan(
                 listOf(waiting),
-                listOf(ExpectedDemand(Wanted(row(0, true), 2), hasStartObjective = true, scaleOutTooSlow = true)),
+                listOf(ExpectedDemand(TaskDemand(row(0, true), 2), hasStartObjective = true, scaleOutTooSlow = true)),
                 listOf(Bin(7, spot, size, true)),
                 emptyMap(),
             )
