--- a/src/main/kotlin/org/honeyjunction/core/fairness/FairnessMonitor.kt
+++ b/src/main/kotlin/org/honeyjunction/core/fairness/FairnessMonitor.kt
@@ -1,29 +1,29 @@
 package org.honeyjunction.core.fairness
 
 /** Jobs whose served share is counted together: the jobs of a class, of a team, or of a class with about the same number of tasks. */
-data class FairnessGroup(val of: Of, val name: String) {
+data class FairnessGroup(val kind: Kind, val name: String) {
     /** What the jobs of a group have in common. The names are stored in checkpoints. */
-    enum class Of { CLASS, TEAM, SIZE }
+    enum class Kind { CLASS, TEAM, SIZE }
 
     override fun toString() =
-        if (of == Of.SIZE) "class $sizeClass's largest, of $minTasks tasks and more" else "${of.name.lowercase()} $name"
+        if (kind == Kind.SIZE) "class $sizeClass's largest, of $minTasks tasks and more" else "${kind.name.lowercase()} $name"
 
-    /** The job class of a group by [Of.SIZE]. */
+    /** The job class of a group by [Kind.SIZE]. */
     private val sizeClass get() = name.substringBeforeLast(SIZE_SEPARATOR)
 
-    /** The lower bound on the number of tasks of the jobs in a group by [Of.SIZE]. */
+    /** The lower bound on the number of tasks of the jobs in a group by [Kind.SIZE]. */
     private val minTasks get() = name.substringAfterLast(SIZE_SEPARATOR)
 
     companion object {
         private const val SIZE_SEPARATOR = '/'
 
         /** The group of the jobs of [jobClass] with about as many [tasks]: sizes are grouped by powers of two. */
-        fun ofSize(jobClass: String, tasks: Int) = FairnessGroup(Of.SIZE, "$jobClass$SIZE_SEPARATOR${tasks.takeHighestOneBit()}")
+        fun ofSize(jobClass: String, tasks: Int) = FairnessGroup(Kind.SIZE, "$jobClass$SIZE_SEPARATOR${tasks.takeHighestOneBit()}")
 
         /** The group of the largest size of each class that has several sizes; for a class with one size, the class group suffices. */
         fun largest(all: Set<FairnessGroup>): Set<FairnessGroup> =
             all
-                .filter { it.of == Of.SIZE }
+                .filter { it.kind == Kind.SIZE }
                 .groupBy { it.sizeClass }
                 .values
                 .filter { it.size > 1 }
@@ -53,8 +53,8 @@
     /** The groups that the job counts in. */
     val groups =
         listOf(
-            FairnessGroup(FairnessGroup.Of.CLASS, jobClass),
-            FairnessGroup(FairnessGroup.Of.TEAM, team),
+            FairnessGroup(FairnessGroup.Kind.CLASS, jobClass),
+            FairnessGroup(FairnessGroup.Kind.TEAM, team),
             FairnessGroup.ofSize(jobClass, tasks),
         )
 }
@@ -88,7 +88,7 @@
     /** Removes the size groups from [all] that are not the largest of their class. */
     private fun withoutSmallerSizes(all: Map<FairnessGroup, ServedCount>): Map<FairnessGroup, ServedCount> {
         val largest = FairnessGroup.largest(all.keys)
-        return all.filterKeys { it.of != FairnessGroup.Of.SIZE || it in largest }
+        return all.filterKeys { it.kind != FairnessGroup.Kind.SIZE || it in largest }
     }
 
     /** The checkpoint for the next leader: the counts of ended jobs, limited to the groups with most jobs. */
--- a/src/main/kotlin/org/honeyjunction/wire/CheckpointCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/CheckpointCodec.kt
@@ -49,9 +49,9 @@
             checkpoint.jobs.forEach { jobs.putObject(it.job).putFailures(it) }
             val boots = putArray("boots")
             checkpoint.boots.forEach { boots.addObject().putBootTimes(it) }
-            for (kind in FairnessGroup.Of.entries) {
+            for (kind in FairnessGroup.Kind.entries) {
                 val groups = putObject(fieldOf(kind))
-                checkpoint.served.filterKeys { it.of == kind }.forEach { (group, served) ->
+                checkpoint.served.filterKeys { it.kind == kind }.forEach { (group, served) ->
                     groups.putArray(group.name).add(served.accepted).add(served.started).add(served.done)
                 }
             }
@@ -77,7 +77,7 @@
         LeaderCheckpoint(
             value.given("jobs")?.properties().orEmpty().map { (job, failures) -> readFailures(job, failures) },
             value.listOrEmpty("boots").map(::readBootTimes),
-            FairnessGroup.Of.entries.flatMap { readServed(it, value) }.toMap(),
+            FairnessGroup.Kind.entries.flatMap { readServed(it, value) }.toMap(),
         )
 
     private fun readFailures(job: String, failures: JsonNode) =
@@ -99,11 +99,11 @@
             boot.count("late"),
         )
 
-    private fun readServed(kind: FairnessGroup.Of, checkpoint: JsonNode): List<Pair<FairnessGroup, ServedCount>> =
+    private fun readServed(kind: FairnessGroup.Kind, checkpoint: JsonNode): List<Pair<FairnessGroup, ServedCount>> =
         checkpoint.given(fieldOf(kind))?.properties().orEmpty().map { (name, served) ->
             if (served.size() != SERVED_FIELDS || served.any { !it.isInt }) throw MalformedException("the tally of $name is invalid")
             FairnessGroup(kind, name) to ServedCount(served[0].intValue(), served[1].intValue(), served[2].intValue())
         }
 
-    private fun fieldOf(kind: FairnessGroup.Of): String = kind.name.lowercase()
+    private fun fieldOf(kind: FairnessGroup.Kind): String = kind.name.lowercase()
 }
--- a/src/test/kotlin/org/honeyjunction/core/fairness/FairnessMonitorTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/fairness/FairnessMonitorTest.kt
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource
 
 class FairnessMonitorTest {
-    private val ofClass = FairnessGroup(FairnessGroup.Of.CLASS, "c")
+    private val ofClass = FairnessGroup(FairnessGroup.Kind.CLASS, "c")
 
     private fun job(started: Boolean, ageMs: Long, team: String = "t") = CountedJob("c", team, started, ageMs)
 
@@ -46,7 +46,7 @@
         val all = FairnessMonitor(10_000).counts(jobs.asSequence())
         assertEquals(
             setOf(FairnessGroup.ofSize("c", 64)),
-            all.keys.filterTo(HashSet()) { it.of == FairnessGroup.Of.SIZE },
+            all.keys.filterTo(HashSet()) { it.kind == FairnessGroup.Kind.SIZE },
             "only the largest size is reported",
         )
         assertEquals(starved, all.getValue(FairnessGroup.ofSize("c", 100)).starved, case)
@@ -57,7 +57,7 @@
     @Test
     fun `a class of one size is reported as a class only`() {
         val groups = FairnessMonitor(1).counts(sequenceOf(job(true, 5), job(false, 9))).keys
-        assertEquals(emptySet<FairnessGroup>(), groups.filterTo(HashSet()) { it.of == FairnessGroup.Of.SIZE })
+        assertEquals(emptySet<FairnessGroup>(), groups.filterTo(HashSet()) { it.kind == FairnessGroup.Kind.SIZE })
     }
 
     @Test
@@ -71,7 +71,7 @@
         assertEquals(ServedCount(4, 2, 1), all[ofClass])
         assertEquals(
             mapOf("t" to ServedCount(3, 2, 1), "u" to ServedCount(1, 0, 0)),
-            all.filterKeys { it.of == FairnessGroup.Of.TEAM }.mapKeys { it.key.name },
+            all.filterKeys { it.kind == FairnessGroup.Kind.TEAM }.mapKeys { it.key.name },
         )
     }
 
@@ -82,7 +82,7 @@
                 List(20) { JobFailureCheckpoint("j-%06d".format(it), it % 2 == 0, it, 9, 1_764_630_000_000) },
                 List(12) { BootTimeCheckpoint("boveda-24g", "ciudad-vieja", it % 2 == 0, 20, 25_000, 42_000) },
                 (0 until 30).associate {
-                    FairnessGroup(FairnessGroup.Of.entries[it % 2], "spread-backtest-$it") to
+                    FairnessGroup(FairnessGroup.Kind.entries[it % 2], "spread-backtest-$it") to
                         ServedCount(300, 200, 100)
                 },
             )
--- a/src/test/kotlin/org/honeyjunction/wire/GoldenStored.kt
+++ b/src/test/kotlin/org/honeyjunction/wire/GoldenStored.kt
@@ -141,9 +141,9 @@
             ),
             listOf(BootTimeCheckpoint("g8", "zöne-a", true, 40, 31_000, 62_500), BootTimeCheckpoint("c4", "b", false, 41, 32_000, 63_500)),
             linkedMapOf(
-                FairnessGroup(FairnessGroup.Of.CLASS, "träin") to ServedCount(30, 20, 10),
-                FairnessGroup(FairnessGroup.Of.CLASS, "sweep") to ServedCount(31, 21, 11),
-                FairnessGroup(FairnessGroup.Of.TEAM, "visión") to ServedCount(32, 22, 12),
+                FairnessGroup(FairnessGroup.Kind.CLASS, "träin") to ServedCount(30, 20, 10),
+                FairnessGroup(FairnessGroup.Kind.CLASS, "sweep") to ServedCount(31, 21, 11),
+                FairnessGroup(FairnessGroup.Kind.TEAM, "visión") to ServedCount(32, 22, 12),
                 FairnessGroup.ofSize("träin", 20) to ServedCount(33, 23, 13),
             ),
         )
