--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/FailureHandler.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/FailureHandler.kt
@@ -24,7 +24,7 @@
         val failing = attribution.failing(job.index)
         if (failing && !job.failing) logFailing(job)
         job.failing = failing
-        job.notBefore = now + conclusion.pauseMs
+        job.notBefore = now + conclusion.backoffMs
     }
 
     /** The job ended: its failures say no more of the machines. */
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/PeriodicWork.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/PeriodicWork.kt
@@ -74,7 +74,7 @@
     }
 
     private fun endQuarantines(now: Long) {
-        parts.failures.retain { state.machineAt(it) != null }
+        parts.failures.retainMachines { state.machineAt(it) != null }
         state.machines.forEach {
             if (it.quarantined &&
                 parts.failures.machineHealth(it.index, now) == MachineHealth.HEALTHY
--- a/src/main/kotlin/org/honeyjunction/core/failures/FailureAttribution.kt
+++ b/src/main/kotlin/org/honeyjunction/core/failures/FailureAttribution.kt
@@ -27,14 +27,14 @@
     FAULTY,
 }
 
-/** The result of attributing a failure: the changed health of [machines], and the job's backoff [pauseMs] in milliseconds. */
-class Attribution(val pauseMs: Long, val machines: Map<Int, MachineHealth>)
+/** The result of attributing a failure: the changed health of [machines], and the job's backoff [backoffMs] in milliseconds. */
+class Attribution(val backoffMs: Long, val machines: Map<Int, MachineHealth>)
 
 /** The failures of a job: the number of [machines] it failed on, and [since] when in monotonic milliseconds. */
 data class JobFailures(val machines: Int, val since: Long)
 
 /** A suspected or failing job, as checkpointed for the next leader; [sinceWall] is wall-clock time in milliseconds. */
-data class JobFailureCheckpoint(val job: String, val failing: Boolean, val tries: Int, val machines: Int, val sinceWall: Long)
+data class JobFailureCheckpoint(val job: String, val failing: Boolean, val retries: Int, val machines: Int, val sinceWall: Long)
 
 /**
  * Attributes task failures to jobs or to machines. A single failure shows only that either the job or the machine is at fault;
@@ -43,7 +43,7 @@
  * fail elsewhere, is faulty. So one bad job cannot make a fleet of machines faulty, since at most two machines are quarantined for
  * that job at a time, and one bad machine cannot make a job failing, since repeated failures on one machine count once.
  *
- * Jobs and machines are given by their dense indices, times in monotonic milliseconds. Only [failed], [succeeded], [retain],
+ * Jobs and machines are given by their dense indices, times in monotonic milliseconds. Only [failed], [succeeded], [retainMachines],
  * [jobEnded] and [restore] change the state; all changes of health go through [enter], except those of [restore].
  */
 class FailureAttribution(private val maxBackoffMs: Long = 300_000) {
@@ -171,7 +171,7 @@
         machineHealth(machine, now) == MachineHealth.QUARANTINED && job in machines.getValue(machine).unattributedJobs
 
     /** Forgets all machines for which [present] returns false. */
-    fun retain(present: (Int) -> Boolean) {
+    fun retainMachines(present: (Int) -> Boolean) {
         machines.keys.retainAll(present)
     }
 
@@ -254,7 +254,7 @@
     fun restore(job: Int, checkpoint: JobFailureCheckpoint, wallOffset: Long): Long {
         val record = jobs.getOrPut(job, ::JobRecord)
         record.health = if (checkpoint.failing) JobHealth.FAILING else JobHealth.SUSPECTED
-        record.retries = checkpoint.tries
+        record.retries = checkpoint.retries
         record.restoredMachines = checkpoint.machines
         record.failingSince = checkpoint.sinceWall - wallOffset
         return if (checkpoint.failing) backoffMs(record.retries) else 0
--- a/src/main/kotlin/org/honeyjunction/wire/CheckpointCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/CheckpointCodec.kt
@@ -59,7 +59,7 @@
 
     private fun ObjectNode.putFailures(failures: JobFailureCheckpoint) {
         put("failing", failures.failing)
-        put("tries", failures.tries)
+        put("tries", failures.retries)
         put("machines", failures.machines)
         put("since", failures.sinceWall)
     }
--- a/src/test/kotlin/org/honeyjunction/core/failures/FailureAttributionTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/failures/FailureAttributionTest.kt
@@ -73,7 +73,7 @@
         val pauses =
             (1..12).map { wave ->
                 (0 until 5)
-                    .map { attribution.failed(1, it, 10 + it, wave * 1_000_000L + it, 1_000).pauseMs }
+                    .map { attribution.failed(1, it, 10 + it, wave * 1_000_000L + it, 1_000).backoffMs }
                     .also { assertEquals(1, it.toSet().size) }
                     .first()
             }
