--- a/src/main/kotlin/org/honeyjunction/core/control/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/autoscaling/Autoscaler.kt
@@ -44,7 +44,7 @@
         private set
 
     /** Expires worker leases, and releases machines that are dead, have failed to boot, or are drained. */
-    fun watch(now: Long) = instances.step(now)
+    fun checkInstances(now: Long) = instances.step(now)
 
     /** Handles the cloud's answer to the release of [machines]; if it is not [confirmed], its outcome is unknown. */
     fun released(machines: List<String>, confirmed: Boolean, now: Long) = instances.released(machines, confirmed, now)
@@ -53,16 +53,16 @@
     fun listed(machines: List<ListedMachine>, now: Long) = instances.listed(machines, now)
 
     /** Adds [machines], which the cloud has rented for the scale-out [request]. */
-    fun rented(request: String, machines: List<String>, now: Long) = scaleOut.confirmed(request, machines, now)
+    fun rentalConfirmed(request: String, machines: List<String>, now: Long) = scaleOut.confirmed(request, machines, now)
 
     /** Handles the cloud's refusal of the scale-out [request]. */
     fun rentalRefused(request: String, now: Long) = scaleOut.refused(request, now)
 
     /** Schedules a retry of the scale-out [request], whose outcome is unknown. */
-    fun rentalUnknown(request: String, now: Long) = scaleOut.outcomeUnknown(request, now)
+    fun rentalOutcomeUnknown(request: String, now: Long) = scaleOut.outcomeUnknown(request, now)
 
     /** Records the arrival of [job] in the forecast; repeated calls for the same job have no effect. */
-    fun noteArrival(job: Job, now: Long) {
+    fun recordArrival(job: Job, now: Long) {
         if (!forecasted.add(job.index)) return
         forecast.recordArrival(
             state.cluster.classes.index(job.spec.jobClass),
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/Leader.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/Leader.kt
@@ -165,7 +165,7 @@
         if (state.job(stored.spec.id) != null) return
         val job = state.addJob(stored, now, wallNow)
         if (job.stage != JobStage.ACTIVE) return
-        parts.autoscaler.noteArrival(job, now)
+        parts.autoscaler.recordArrival(job, now)
         periodicWork.jobAdded(now)
     }
 
@@ -214,11 +214,11 @@
 
     fun machinesListed(machines: List<ListedMachine>, now: Long) = parts.autoscaler.listed(machines, now)
 
-    fun scaleOutCompleted(request: String, machines: List<String>, now: Long) = parts.autoscaler.rented(request, machines, now)
+    fun scaleOutCompleted(request: String, machines: List<String>, now: Long) = parts.autoscaler.rentalConfirmed(request, machines, now)
 
     fun scaleOutRefused(request: String, now: Long) = parts.autoscaler.rentalRefused(request, now)
 
-    fun scaleOutOutcomeUnknown(request: String, now: Long) = parts.autoscaler.rentalUnknown(request, now)
+    fun scaleOutOutcomeUnknown(request: String, now: Long) = parts.autoscaler.rentalOutcomeUnknown(request, now)
 
     fun scaleInCompleted(machines: List<String>, confirmed: Boolean, now: Long) = parts.autoscaler.released(machines, confirmed, now)
 
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderRecovery.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderRecovery.kt
@@ -31,7 +31,7 @@
         recovered.machines.forEach(::recoverMachine)
         recoverJournal(recovered.pages)
         recoverCheckpoint(recovered.marks)
-        state.active.values.forEach { parts.autoscaler.noteArrival(it, now) }
+        state.active.values.forEach { parts.autoscaler.recordArrival(it, now) }
     }
 
     private fun recoverMachine(checkpoint: MachineCheckpoint) {
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/PeriodicWork.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/PeriodicWork.kt
@@ -49,7 +49,7 @@
     private fun watchMachines(now: Long) {
         parts.failureDetector.step(now)
         parts.zones.step(now)
-        parts.autoscaler.watch(now)
+        parts.autoscaler.checkInstances(now)
     }
 
     private fun place(now: Long) {
