--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/TaskRows.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/TaskRows.kt
@@ -1,6 +1,6 @@
 package org.honeyjunction.core.control.jobs
 
-import org.honeyjunction.core.capacity.Wanted
+import org.honeyjunction.core.capacity.TaskDemand
 import org.honeyjunction.core.control.leader.ClusterState
 import org.honeyjunction.core.model.Job
 import org.honeyjunction.core.model.JobKind
@@ -65,7 +65,7 @@
      * machine can take the first ones. A gang that would be cut is left out, unless at most half of the rows are taken: a gang
      * larger than the limit is still considered.
      */
-    fun select(demands: List<Wanted>, fitting: FirstFitEstimate, now: Long, limit: Int): List<TaskRow> {
+    fun select(demands: List<TaskDemand>, fitting: FirstFitEstimate, now: Long, limit: Int): List<TaskRow> {
         val rows = ArrayList<TaskRow>()
         val selected = IntArray(demands.size)
         demands.forEachIndexed { i, demand ->
@@ -83,7 +83,7 @@
     }
 
     /** Appends rows for [count] waiting tasks of the job, without its first [skip] ones. */
-    private fun append(rows: MutableList<TaskRow>, demand: Wanted, skip: Int, count: Int, now: Long) {
+    private fun append(rows: MutableList<TaskRow>, demand: TaskDemand, skip: Int, count: Int, now: Long) {
         if (count <= 0) return
         val job = state.jobAt(demand.sample.job) ?: return
         var number = job.waiting.nextSetBit(0)
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/Leader.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/Leader.kt
@@ -166,7 +166,7 @@
         if (state.job(stored.spec.id) != null) return
         val job = state.addJob(stored, now, wallNow)
         if (job.stage != JobStage.ACTIVE) return
-        components.autoscaler.noteArrival(job, now)
+        components.autoscaler.recordArrival(job, now)
         periodicWork.jobAdded(now)
     }
 
@@ -217,13 +217,13 @@
     fun machinesListed(machines: List<ListedMachine>, now: Long) = components.autoscaler.listed(machines, now)
 
     /** The cloud rented [machines] for [request], fewer than requested if it ran out of capacity. */
-    fun scaleOutCompleted(request: String, machines: List<String>, now: Long) = components.autoscaler.rented(request, machines, now)
+    fun scaleOutCompleted(request: String, machines: List<String>, now: Long) = components.autoscaler.rentalConfirmed(request, machines, now)
 
     /** The cloud refused [request]. */
     fun scaleOutRefused(request: String, now: Long) = components.autoscaler.rentalRefused(request, now)
 
     /** The cloud did not answer [request], so that it may have rented machines. */
-    fun scaleOutOutcomeUnknown(request: String, now: Long) = components.autoscaler.rentalUnknown(request, now)
+    fun scaleOutOutcomeUnknown(request: String, now: Long) = components.autoscaler.rentalOutcomeUnknown(request, now)
 
     /** A request to release [machines] ended; if not [confirmed], its outcome is unknown and it will be repeated. */
     fun scaleInCompleted(machines: List<String>, confirmed: Boolean, now: Long) = components.autoscaler.released(machines, confirmed, now)
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderRecovery.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderRecovery.kt
@@ -32,7 +32,7 @@
         recovered.machines.forEach(::recoverMachine)
         recoverJournal(recovered.pages)
         recoverCheckpoint(recovered.checkpoint)
-        state.active.values.forEach { components.autoscaler.noteArrival(it, now) }
+        state.active.values.forEach { components.autoscaler.recordArrival(it, now) }
     }
 
     private fun recoverMachine(checkpoint: MachineCheckpoint) {
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/PeriodicWork.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/PeriodicWork.kt
@@ -50,7 +50,7 @@
     private fun checkMachines(now: Long) {
         components.failureDetector.step(now)
         components.zones.step(now)
-        components.autoscaler.watch(now)
+        components.autoscaler.checkInstances(now)
     }
 
     private fun runPlacementRound(now: Long) {
@@ -76,7 +76,7 @@
     }
 
     private fun endQuarantines(now: Long) {
-        components.failures.retain { state.machineAt(it) != null }
+        components.failures.retainMachines { state.machineAt(it) != null }
         state.machines.forEach {
             if (it.quarantined &&
                 components.failures.machineHealth(it.index, now) == MachineHealth.HEALTHY
--- a/src/test/kotlin/org/honeyjunction/core/fairness/FairnessMonitorTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/fairness/FairnessMonitorTest.kt
@@ -12,18 +12,18 @@
 import org.junit.jupiter.params.provider.CsvSource
 
 class FairnessMonitorTest {
-    private val ofClass = FairnessGroup(FairnessGroup.Of.CLASS, "c")
+    private val ofClass = FairnessGroup(FairnessGroup.Kind.CLASS, "c")
 
     private fun job(started: Boolean, ageMs: Long, team: String = "t") = CountedJob("c", team, started, ageMs)
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // case, so many have started, wait since recently, wait for long; accepted, started, starved
+        // case; jobs that have started, that have waited briefly, that have waited long; expected: accepted, started, starved
         "all started,                        4, 0, 0, 4, 4, false",
         "recent ones do not count yet,       3, 9, 0, 3, 3, false",
         "more than half waited for long,     3, 0, 4, 7, 3, true",
         "half of them is enough,             4, 0, 4, 8, 4, false",
-        "a few jobs say nothing,             0, 0, 3, 3, 0, false",
+        "a few jobs are too few to tell,     0, 0, 3, 3, 0, false",
     )
     fun `the served share of a class`(case: String, started: Int, recent: Int, old: Int, accepted: Int, ran: Int, starved: Boolean) {
         val served = FairnessMonitor(10_000)
@@ -32,12 +32,12 @@
         assertEquals(listOf(accepted, ran, starved), listOf(count.accepted, count.started, count.starved), case)
     }
 
-    /** Small jobs that are all served do not hide the large ones that never start. */
+    /** Small jobs that are all served must not hide large jobs of the same class that never start. */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
         "the largest never start,      5, 0, true",
         "half of the largest do,       2, 2, false",
-        "a few of them say nothing,    3, 0, false",
+        "too few of them to tell,      3, 0, false",
     )
     fun `the largest jobs of a class count by themselves`(case: String, waiting: Int, started: Int, starved: Boolean) {
         val jobs =
@@ -46,7 +46,7 @@
         val all = FairnessMonitor(10_000).counts(jobs.asSequence())
         assertEquals(
             setOf(FairnessGroup.ofSize("c", 64)),
-            all.keys.filterTo(HashSet()) { it.of == FairnessGroup.Of.SIZE },
+            all.keys.filterTo(HashSet()) { it.kind == FairnessGroup.Kind.SIZE },
             "only the largest size is reported",
         )
         assertEquals(starved, all.getValue(FairnessGroup.ofSize("c", 100)).starved, case)
@@ -57,7 +57,7 @@
     @Test
     fun `a class of one size is reported as a class only`() {
         val groups = FairnessMonitor(1).counts(sequenceOf(job(true, 5), job(false, 9))).keys
-        assertEquals(emptySet<FairnessGroup>(), groups.filterTo(HashSet()) { it.of == FairnessGroup.Of.SIZE })
+        assertEquals(emptySet<FairnessGroup>(), groups.filterTo(HashSet()) { it.kind == FairnessGroup.Kind.SIZE })
     }
 
     @Test
@@ -71,23 +71,23 @@
         assertEquals(ServedCount(4, 2, 1), all[ofClass])
         assertEquals(
             mapOf("t" to ServedCount(3, 2, 1), "u" to ServedCount(1, 0, 0)),
-            all.filterKeys { it.of == FairnessGroup.Of.TEAM }.mapKeys { it.key.name },
+            all.filterKeys { it.kind == FairnessGroup.Kind.TEAM }.mapKeys { it.key.name },
         )
     }
 
     @Test
     fun `a leader checkpoint is read as it was written, and fits into the smallest value`() {
-        val marks =
+        val checkpoint =
             LeaderCheckpoint(
                 List(20) { JobFailureCheckpoint("j-%06d".format(it), it % 2 == 0, it, 9, 1_764_630_000_000) },
                 List(12) { BootTimeCheckpoint("boveda-24g", "ciudad-vieja", it % 2 == 0, 20, 25_000, 42_000) },
                 (0 until 30).associate {
-                    FairnessGroup(FairnessGroup.Of.entries[it % 2], "spread-backtest-$it") to
+                    FairnessGroup(FairnessGroup.Kind.entries[it % 2], "spread-backtest-$it") to
                         ServedCount(300, 200, 100)
                 },
             )
-        val bytes = Json.write(CheckpointCodec.writeLeader(marks))
-        assertEquals(marks, CheckpointCodec.readLeader(Json.read(bytes)))
+        val bytes = Json.write(CheckpointCodec.writeLeader(checkpoint))
+        assertEquals(checkpoint, CheckpointCodec.readLeader(Json.read(bytes)))
         assertTrue(bytes.size <= 4096, "${bytes.size} bytes")
         assertEquals(LeaderCheckpoint(), CheckpointCodec.readLeader(Json.read(Json.write(CheckpointCodec.writeLeader(LeaderCheckpoint())))))
     }
