--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/PendingQueue.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/PendingQueue.kt
@@ -53,12 +53,7 @@
 
     /** Each team's weight, which follows from its guarantee, and its running tasks. */
     fun teams(): List<TeamShare> =
-        state.cluster.teams.mapIndexed {
-            index,
-            team,
-            ->
-            TeamShare(weight(team.guarantee), state.placementCount(index))
-        }
+        state.cluster.teams.mapIndexed { index, team -> TeamShare(weight(team.guarantee), state.placementCount(index)) }
 
     private fun Job.isPending(now: Long) = !waiting.isEmpty && startable && notBefore <= now
 
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/HeartbeatResponder.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/HeartbeatResponder.kt
@@ -39,7 +39,7 @@
 
     private fun observesLaterTerm(token: Long): Boolean {
         if (token shr ClusterState.SEQUENCE_BITS <= state.term) return false
-        if (!laterTermObserved) state.effects += Effect.StepDown("a worker has seen a higher term")
+        if (!laterTermObserved) state.effects += Effect.StepDown("a worker has seen a later term")
         laterTermObserved = true
         renewals.superseded(state.now)
         return true
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderDiagnostics.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/LeaderDiagnostics.kt
@@ -48,7 +48,7 @@
         val explainer = components.explainer ?: return null
         explainer.begin()
         val job = state.job(id) ?: return explainer.rememberedTasks(id, first, limit, now)
-        val freeCapacity = freeCapacityBeside(job, now)
+        val freeCapacity = freeCapacityFor(job, now)
         val context = startedCounts(job, now) + listOfNotNull(freeCapacity)
         return (first until minOf(job.tasks.size, first + limit)).mapNotNull { explainer.explain(job.tasks[it], now, context) }
     }
@@ -57,7 +57,7 @@
     private fun Explainer.rememberedTasks(id: String, first: Int, limit: Int, now: Long): List<Explanation>? =
         (first until first + limit).mapNotNull { remembered("$id/$it", now) }.ifEmpty { null }
 
-    private fun freeCapacityBeside(job: Job, now: Long): String? =
+    private fun freeCapacityFor(job: Job, now: Long): String? =
         components.workConservation.of(job, now)?.let {
             "free machines have had room for it for ${(now - it.sinceMs) / 1000} s: ${it.reason.text}"
         }
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/WorkerLeaseRenewals.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/WorkerLeaseRenewals.kt
@@ -43,6 +43,6 @@
     }
 
     private companion object {
-        const val STOPPED_REASON = "no proof left that no later term has confirmed cancellations: worker leases are not renewed"
+        const val STOPPED_REASON = "worker leases are no longer renewed: it is not proven that no later term has confirmed cancellations"
     }
 }
--- a/src/test/kotlin/org/honeyjunction/core/control/leader/LeaderRecoveryTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/control/leader/LeaderRecoveryTest.kt
@@ -116,12 +116,18 @@
         "a report with the token that lists the task keeps it,   1, 1, true,  1",
         "a report of an older session is ignored,                0, 1, false, 1",
     )
-    fun `a task recovered from the journal is removed only on proof`(name: String, session: Long, acked: Int, lists: Boolean, left: Int) {
+    fun `a task recovered from the journal is removed only on proof`(
+        name: String,
+        session: Long,
+        ackedThisTerm: Int,
+        listsTask: Boolean,
+        expectedPlacements: Int,
+    ) {
         val leader = newLeader()
         assertEquals(Phase.UNCONFIRMED, leader.placements().single().phase)
-        val tasks = if (lists) arrayOf(ReportedTask("j-1", 0, 77, TaskState.Running)) else emptyArray()
-        leader.answerHeartbeat(heartbeat(session, 5, token * acked, *tasks), 10)
-        assertEquals(left, leader.placements().size, name)
+        val tasks = if (listsTask) arrayOf(ReportedTask("j-1", 0, 77, TaskState.Running)) else emptyArray()
+        leader.answerHeartbeat(heartbeat(session, 5, token * ackedThisTerm, *tasks), 10)
+        assertEquals(expectedPlacements, leader.placements().size, name)
     }
 
     /**
@@ -137,19 +143,19 @@
     )
     fun `a delayed heartbeat with another attempt does not displace a recorded start that may still be executed`(
         name: String,
-        sessions: Long,
-        acked: Int,
-        left: Int,
+        laterSessions: Long,
+        ackedThisTerm: Int,
+        expectedPlacements: Int,
     ) {
         val leader = newLeader()
         leader.answerHeartbeat(heartbeat(1, 5, 0, ReportedTask("j-1", 0, 50, TaskState.Running)), 10)
         assertEquals(listOf(77L), leader.placements().map { it.attempt }, name)
-        leader.answerHeartbeat(heartbeat(1 + sessions, 6, token * acked), 20)
-        assertEquals(left, leader.placements().size, name)
+        leader.answerHeartbeat(heartbeat(1 + laterSessions, 6, token * ackedThisTerm), 20)
+        assertEquals(expectedPlacements, leader.placements().size, name)
     }
 
     @Test
-    fun `a worker that has seen a higher term makes the leader step down`() {
+    fun `a worker that has seen a later term makes the leader step down`() {
         val leader = newLeader()
         assertNull(leader.answerHeartbeat(heartbeat(1, 5, (term + 1) shl 24), 10))
         assertTrue(leader.drainEffects().any { it is Effect.StepDown })
@@ -229,8 +235,8 @@
         }
         assertEquals(
             released,
-            leader.drainEffects().filterIsInstance<Effect.ScaleIn>().sumOf { r ->
-                r.machines.count { it == machine }
+            leader.drainEffects().filterIsInstance<Effect.ScaleIn>().sumOf { scaleIn ->
+                scaleIn.machines.count { it == machine }
             },
             case,
         )
@@ -252,8 +258,11 @@
             leader.answerHeartbeat(heartbeat(1, 5L + i, token, *ended), 10L + i)
             leader.tick(1_000L * i)
         }
-        val finals = leader.drainEffects().filterIsInstance<Effect.Commit>().filter { c -> c.changes.any { it is Change.JobFinished } }
-        assertEquals(1, finals.size)
+        val terminalWrites =
+            leader.drainEffects().filterIsInstance<Effect.Commit>().filter { c ->
+                c.changes.any { it is Change.JobFinished }
+            }
+        assertEquals(1, terminalWrites.size)
     }
 
     @Test
@@ -283,7 +292,7 @@
         val leader = newLeader()
         leader.answerHeartbeat(heartbeat(1, 5, token), 10)
         leader.answerHeartbeat(heartbeat(1, 6, token).copy(machine = "vm-2"), 10)
-        for (t in 100L..1_000L step 100) leader.tick(t)
+        for (time in 100L..1_000L step 100) leader.tick(time)
         val before = leader.drainEffects()
         val write = before.filterIsInstance<Effect.Commit>().first()
         leader.leaderLeaseRenewed(5_000, 1_000)
@@ -303,7 +312,7 @@
         assertTrue(leader.answerHeartbeat(heartbeat(1, 10, token), now + 40) != null, "heartbeats are answered")
         assertEquals(emptyList<Effect>(), leader.drainEffects().filter { it is Effect.LogEvent && "UNREACHABLE" in it.message })
         leader.leaderLeaseRenewed(now + 5_000, now + 50)
-        for (t in 100L..1_000L step 100) leader.tick(now + t)
+        for (elapsed in 100L..1_000L step 100) leader.tick(now + elapsed)
         assertTrue(leader.drainEffects().any { it is Effect.Commit }, "the leader goes on once its lease is renewed")
     }
 
@@ -324,10 +333,10 @@
         }
         for (now in from..from + 5_000 step 100) {
             leader.tick(now)
-            for (e in leader.drainEffects().filterIsInstance<Effect.Send>()) {
-                assertTrue(e.startsNothing && leader.mayExecute(now, needsLease = false), state)
-                stops += e
-                leader.commandUnanswered(e.id, now)
+            for (send in leader.drainEffects().filterIsInstance<Effect.Send>()) {
+                assertTrue(send.startsNothing && leader.mayExecute(now, needsLease = false), state)
+                stops += send
+                leader.commandUnanswered(send.id, now)
             }
         }
         assertTrue(stops.count { it.commands.any { c -> c is Command.Stop } } >= 3, "$state: ${stops.size}")
--- a/src/test/kotlin/org/honeyjunction/core/lease/RenewalBoundTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/lease/RenewalBoundTest.kt
@@ -269,13 +269,13 @@
             val nextLevel = ArrayList<List<String>>()
             for (path in level) {
                 for (action in ACTIONS) {
-                    val longer = path + action
-                    val run = longer.fold(Simulation(rule(), confirmAfterMs)) { run, next -> run.act(next) }
-                    val violation = run.violation
+                    val extendedPath = path + action
+                    val simulation = extendedPath.fold(Simulation(rule(), confirmAfterMs)) { simulation, next -> simulation.act(next) }
+                    val violation = simulation.violation
                     if (violation != null) {
-                        found += longer.joinToString() + ": " + violation
-                    } else if (seen.add(run.stateKey())) {
-                        nextLevel += longer
+                        found += extendedPath.joinToString() + ": " + violation
+                    } else if (seen.add(simulation.stateKey())) {
+                        nextLevel += extendedPath
                     }
                 }
             }
--- a/src/test/kotlin/org/honeyjunction/core/lease/WorkerLeaseTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/lease/WorkerLeaseTest.kt
@@ -233,9 +233,9 @@
         val path = IntArray(depth)
 
         fun go(length: Int) {
-            val run = Simulation(rule)
-            repeat(length) { run.act(path[it]) }
-            run.violation?.let { violation ->
+            val simulation = Simulation(rule)
+            repeat(length) { simulation.act(path[it]) }
+            simulation.violation?.let { violation ->
                 found += path.take(length).joinToString { ACTIONS[it] } + ": " + violation
                 return
             }
