--- a/src/test/kotlin/org/honeyjunction/core/control/leader/LeaderRecoveryTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/control/leader/LeaderRecoveryTest.kt
@@ -259,8 +259,8 @@
             leader.tick(1_000L * i)
         }
         val terminalWrites =
-            leader.drainEffects().filterIsInstance<Effect.Commit>().filter { c ->
-                c.changes.any { it is Change.JobFinished }
+            leader.drainEffects().filterIsInstance<Effect.Commit>().filter { commit ->
+                commit.changes.any { it is Change.JobFinished }
             }
         assertEquals(1, terminalWrites.size)
     }
