--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/PendingQueue.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/PendingQueue.kt
@@ -59,12 +59,7 @@
 
     /** Each team's weight, derived from its guarantee, and the number of its running tasks. */
     fun teams(): List<TeamShare> =
-        state.cluster.teams.mapIndexed {
-            index,
-            team,
-            ->
-            TeamShare(weight(team.guarantee), state.placementCount(index))
-        }
+        state.cluster.teams.mapIndexed { index, team -> TeamShare(weight(team.guarantee), state.placementCount(index)) }
 
     private fun Job.isPending(now: Long) = !waiting.isEmpty && startable && notBefore <= now
 
