--- a/src/main/kotlin/org/honeyjunction/core/control/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/autoscaling/Autoscaler.kt
@@ -141,10 +141,10 @@
     /** Whether no arrivals are expected, and all running and pending tasks fit on the other machines, without a new instance. */
     fun canSpare(machine: Machine, now: Long): Boolean {
         if (expected(now).isNotEmpty() || !scaleOut.none || state.machines.any { it.phase in UNSETTLED }) return false
-        val wanted = queue.demands(now) + machine.placements.values.map { TaskDemand(queue.rows.relocation(it.task, now), 1) }
+        val demands = queue.demands(now) + machine.placements.values.map { TaskDemand(queue.rows.relocation(it.task, now), 1) }
         val others = bins(now).filter { it.machine != machine.index }
         val planner = CapacityPlanner(state.cluster.types, scaleOutPolicy()) { false }
-        val plan = planner.plan(wanted, emptyList(), others, emptyMap())
+        val plan = planner.plan(demands, emptyList(), others, emptyMap())
         return plan.instancesToRent.isEmpty() && plan.unmet.isEmpty()
     }
 
--- a/src/main/kotlin/org/honeyjunction/core/control/autoscaling/InstanceMonitor.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/autoscaling/InstanceMonitor.kt
@@ -120,7 +120,7 @@
 
     /**
      * Releases machines that are no longer listed. A machine stays listed until it is gone; but one list may be older than the list
-     * before it, so that a machine has to have been known for a while.
+     * before it, so that a machine is released only some time after its first listing.
      */
     private fun releaseUnlisted(names: Set<String>, now: Long) {
         for ((name, since) in firstListedAt) {
--- a/src/main/kotlin/org/honeyjunction/core/control/machines/FailureDetector.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/machines/FailureDetector.kt
@@ -125,7 +125,7 @@
             .toList()
     }
 
-    /** Whether [placement] is a production replica that an earlier leader recorded, and the only placement of its task. */
+    /** Whether [placement] is the only one of a production replica, which an earlier leader started and which may still run. */
     private fun critical(placement: Placement) =
         placement.phase == Phase.UNCONFIRMED &&
             placement.task.job.spec.priority == Priority.PRODUCTION &&
--- a/src/main/kotlin/org/honeyjunction/core/control/machines/ZoneHealthMonitor.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/machines/ZoneHealthMonitor.kt
@@ -7,7 +7,7 @@
 
 /** The health of a zone as a whole: many machines that become unresponsive together are handled as one event. */
 enum class ZoneHealth {
-    /** Most machines of the zone are responsive. */
+    /** Most machines of the zone are responsive, or the zone has too few machines to tell. */
     HEALTHY,
 
     /** Most machines are unresponsive: the zone is considered cut off, and its machines are expected back with their caches. */
--- a/src/main/kotlin/org/honeyjunction/core/control/preemption/PreemptionPlanner.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/preemption/PreemptionPlanner.kt
@@ -176,13 +176,13 @@
         /** How long the freed capacity is reserved for the priority of the task that it was freed for. */
         const val RESERVATION_MS = 8_000L
 
-        /** A task that has run for less time counts as just started; also the cost of preempting such a task. */
+        /** A task that has run for less time counts as just started; this time is then added to the cost of preempting the task. */
         const val RECENT_START_S = 30.0
 
-        /** The cost of starting a preempted task again. */
+        /** The cost of starting a preempted task again, in seconds of lost work. */
         const val RESTART_S = 3.0
 
-        /** The cost of preempting a service replica, instead of the time it has run. */
+        /** The cost of preempting a service replica, in seconds of lost work; the time that the replica has run does not count. */
         const val SERVICE_LOSS_S = 60.0
     }
 }
--- a/src/test/kotlin/org/honeyjunction/core/boot/BootTimesTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/boot/BootTimesTest.kt
@@ -16,23 +16,23 @@
     @ParameterizedTest(name = "{0}")
     @CsvSource(
         "nothing observed; recently rented,                           '',                                      150, EXPECTED",
-        "nothing observed; later than usual but none was faster,      '',                                      200, EXPECTED",
+        "nothing observed; late but no other machine is up,           '',                                      200, EXPECTED",
         "nothing observed; twice as late,                             '',                                      210, LATE",
-        "nothing observed; far later than any,                        '',                                      430, ABANDONED",
-        "those rented after it are up,                                '101-20 102-20 103-20',                  160, LATE",
-        "and it is late by the slack of the list too,                 '104-20 105-20 106-20',                  165, ABANDONED",
-        "two are not enough,                                          '104-20 105-20',                         165, LATE",
-        "those of its own request say nothing,                        '100-20 100-21 100-22 101-23',           165, LATE",
-        "all take four times as long: that is no lateness,            '0-120 1-118 2-122 3-119 4-121 5-120 6-120 7-120 8-120 9-120 " +
+        "nothing observed; far beyond the usual time,                 '',                                      430, ABANDONED",
+        "two rented later and one of its own request are up,          '101-20 102-20 103-20',                  160, LATE",
+        "three rented later are up,                                   '104-20 105-20 106-20',                  165, ABANDONED",
+        "only two rented later are up,                                '104-20 105-20',                         165, LATE",
+        "only machines of its own request are up,                     '100-20 100-21 100-22 101-23',           165, LATE",
+        "all boots take four times as long,                           '0-120 1-118 2-122 3-119 4-121 5-120 6-120 7-120 8-120 9-120 " +
             "10-120 11-120 12-120 13-120 14-120 15-120 16-120 17-120 18-120 19-120', 230, EXPECTED",
-        "all before it were up at once and none since,                   '0-1 1-1 2-1 3-1 4-1 5-1 6-1 7-1 8-1 9-1 10-1 11-1 12-1 " +
+        "all earlier ones booted at once and none since,              '0-1 1-1 2-1 3-1 4-1 5-1 6-1 7-1 8-1 9-1 10-1 11-1 12-1 " +
             "13-1 14-1 15-1 16-1 17-1 18-1 19-1', 150, EXPECTED",
-        "all are up at once: it is late soon,                         '100-1 1-1 2-1 3-1 4-1 5-1 6-1 7-1 8-1 9-1 10-1 11-1 12-1 " +
+        "all booted at once; past the nominal time,                   '100-1 1-1 2-1 3-1 4-1 5-1 6-1 7-1 8-1 9-1 10-1 11-1 12-1 " +
             "13-1 14-1 15-1 16-1 17-1 18-1 19-1', 132, LATE",
-        "but not before its nominal time,                             '0-1 1-1 2-1 3-1 4-1 5-1 6-1 7-1 8-1 9-1 10-1 11-1 12-1 13-1 " +
+        "all booted at once; before the nominal time,                 '0-1 1-1 2-1 3-1 4-1 5-1 6-1 7-1 8-1 9-1 10-1 11-1 12-1 13-1 " +
             "14-1 15-1 16-1 17-1 18-1 19-1', 128, EXPECTED",
     )
-    fun `the progress of a boot`(case: String, observed: String, nowS: Long, progress: BootProgress) {
+    fun `a boot is assessed by the boot times of its instance kind`(case: String, observed: String, nowS: Long, progress: BootProgress) {
         val boots = BootTimes()
         val observations = observed.split(' ').filter { it.isNotEmpty() }.map { it.split('-').map(String::toLong) }
         observations.forEach { (rentedS, tookS) -> boots.recordBoot(kind, rentedS * 1000, (rentedS + tookS) * 1000) }
--- a/src/test/kotlin/org/honeyjunction/core/failures/FailureAttributionTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/failures/FailureAttributionTest.kt
@@ -24,27 +24,27 @@
                 "QUARANTINED HEALTHY HEALTHY",
             "the quarantine expires                                  | f 1 0 1, w 20000                    | SUSPECTED UNTRIED | " +
                 "HEALTHY HEALTHY HEALTHY",
-            "it finishes elsewhere: the machine was at fault         | f 1 0 1, s 1 2                      | HEALTHY UNTRIED   | " +
+            "the job finishes elsewhere: the machine was faulty      | f 1 0 1, s 1 2                      | HEALTHY UNTRIED   | " +
                 "FAULTY HEALTHY HEALTHY",
-            "it fails elsewhere too                                  | f 1 0 1, f 1 0 2                    | SUSPECTED UNTRIED | " +
+            "the job fails on a second machine                       | f 1 0 1, f 1 0 2                    | SUSPECTED UNTRIED | " +
                 "QUARANTINED QUARANTINED HEALTHY",
-            "and on a third: it is at fault, and clears them         | f 1 0 1, f 1 0 2, f 1 0 3           | FAILING UNTRIED | " +
+            "the job fails on a third: the machines are cleared      | f 1 0 1, f 1 0 2, f 1 0 3           | FAILING UNTRIED | " +
                 "HEALTHY HEALTHY HEALTHY",
-            "four tasks on one machine are one machine               | f 1 0 1, f 1 1 1, f 1 2 1, f 1 3 1  | SUSPECTED UNTRIED | " +
+            "four failures on one machine count once                 | f 1 0 1, f 1 1 1, f 1 2 1, f 1 3 1  | SUSPECTED UNTRIED | " +
                 "QUARANTINED HEALTHY HEALTHY",
             "two jobs fail on one machine                            | f 1 0 1, f 2 0 1                    | SUSPECTED SUSPECTED | " +
                 "FAULTY HEALTHY HEALTHY",
-            "a failing job charges no machine                          | f 1 0 1, f 1 0 2, f 1 0 3, f 1 0 4, f 2 0 1 | " +
+            "a failing job makes no machine faulty                   | f 1 0 1, f 1 0 2, f 1 0 3, f 1 0 4, f 2 0 1 | " +
                 "FAILING SUSPECTED | QUARANTINED HEALTHY HEALTHY",
-            "a healthy job fails once                                 | s 1 1, f 1 1 2                      | HEALTHY UNTRIED   | " +
+            "a healthy job fails once                                | s 1 1, f 1 1 2                      | HEALTHY UNTRIED   | " +
                 "HEALTHY FAULTY HEALTHY",
-            "one task of a healthy job fails wherever it is          | s 1 1, f 1 1 2, f 1 1 3             | HEALTHY UNTRIED   | " +
+            "one task of a healthy job fails wherever it runs        | s 1 1, f 1 1 2, f 1 1 3             | HEALTHY UNTRIED   | " +
                 "HEALTHY FAULTY HEALTHY",
-            "another job finishes on a quarantined machine          | f 1 0 1, s 2 1                      | SUSPECTED HEALTHY   | " +
+            "another job finishes on a quarantined machine           | f 1 0 1, s 2 1                      | SUSPECTED HEALTHY   | " +
                 "HEALTHY HEALTHY HEALTHY",
-            "a failing job that finishes after all                  | f 1 0 1, f 1 0 2, f 1 0 3, s 1 4    | HEALTHY UNTRIED   | " +
+            "a failing job that finishes after all                   | f 1 0 1, f 1 0 2, f 1 0 3, s 1 4    | HEALTHY UNTRIED   | " +
                 "HEALTHY HEALTHY HEALTHY",
-            "its user cancels it                                     | f 1 0 1, o 1                        | UNTRIED UNTRIED | " +
+            "the user cancels the job                                | f 1 0 1, o 1                        | UNTRIED UNTRIED | " +
                 "HEALTHY HEALTHY HEALTHY",
             "quarantined for two jobs, one of which ends             | f 1 0 1, f 1 0 2, f 2 0 3, o 1      | UNTRIED SUSPECTED | " +
                 "HEALTHY HEALTHY QUARANTINED",
--- a/src/test/kotlin/org/honeyjunction/core/fairness/FairnessMonitorTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/fairness/FairnessMonitorTest.kt
@@ -22,10 +22,18 @@
         "all started,                        4, 0, 0, 4, 4, false",
         "recent ones do not count yet,       3, 9, 0, 3, 3, false",
         "more than half waited for long,     3, 0, 4, 7, 3, true",
-        "half of them is enough,             4, 0, 4, 8, 4, false",
+        "half of them have started,          4, 0, 4, 8, 4, false",
         "a few jobs are too few to tell,     0, 0, 3, 3, 0, false",
     )
-    fun `the served share of a class`(case: String, started: Int, recent: Int, old: Int, accepted: Int, ran: Int, starved: Boolean) {
+    fun `a class is starved if fewer than half of its jobs have started in time`(
+        case: String,
+        started: Int,
+        recent: Int,
+        old: Int,
+        accepted: Int,
+        ran: Int,
+        starved: Boolean,
+    ) {
         val served = FairnessMonitor(10_000)
         val active = List(started) { job(true, 100) } + List(recent) { job(false, 9_000) } + List(old) { job(false, 11_000) }
         val count = served.counts(active.asSequence()).getValue(ofClass)
