--- a/src/main/kotlin/org/honeyjunction/core/capacity/CapacityPlan.kt
+++ b/src/main/kotlin/org/honeyjunction/core/capacity/CapacityPlan.kt
@@ -11,7 +11,11 @@
  * the tasks with the given shape; a rule that can be checked only once the instance is up prevents renting. [emptyInstance] gives
  * what placement rules see of a new instance.
  */
-class ScaleOutPolicy(val table: RuleTable, val emptyInstance: (Offer) -> RuleTable.MachineContext, val mayRent: (shape: Int, Offer) -> Boolean)
+class ScaleOutPolicy(
+    val table: RuleTable,
+    val emptyInstance: (Offer) -> RuleTable.MachineContext,
+    val mayRent: (shape: Int, Offer) -> Boolean,
+)
 
 /**
  * The decisions of one planning period; machines are given by their indices.
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/Leader.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/Leader.kt
@@ -217,7 +217,8 @@
     fun machinesListed(machines: List<ListedMachine>, now: Long) = components.autoscaler.listed(machines, now)
 
     /** The cloud rented [machines] for [request], fewer than requested if it ran out of capacity. */
-    fun scaleOutCompleted(request: String, machines: List<String>, now: Long) = components.autoscaler.rentalConfirmed(request, machines, now)
+    fun scaleOutCompleted(request: String, machines: List<String>, now: Long) =
+        components.autoscaler.rentalConfirmed(request, machines, now)
 
     /** The cloud refused [request]. */
     fun scaleOutRefused(request: String, now: Long) = components.autoscaler.rentalRefused(request, now)
--- a/src/main/kotlin/org/honeyjunction/core/placement/FirstFitEstimate.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/FirstFitEstimate.kt
@@ -89,7 +89,11 @@
     /** How many tasks, up to [limit], the rules allow on the same machine. */
     private fun permittedByRules(sample: TaskRow, candidate: Candidate, limit: Int): Int {
         var allowed = 0
-        while (allowed < limit && rules.firstViolation(sample.shape, candidate.scene.plusTasks(sample.shape, allowed), sample.mates) == null) allowed++
+        while (allowed < limit &&
+            rules.firstViolation(sample.shape, candidate.scene.plusTasks(sample.shape, allowed), sample.mates) == null
+        ) {
+            allowed++
+        }
         return allowed
     }
 }
