--- a/src/main/kotlin/org/honeyjunction/core/admission/TokenBucket.kt
+++ b/src/main/kotlin/org/honeyjunction/core/admission/TokenBucket.kt
@@ -7,11 +7,13 @@
  * are steady milliseconds.
  */
 internal class TokenBucket(private var tokens: Double, now: Long) {
+    /** The time of the last refill. */
     var refilledAt = now
         private set
     private var rejections = 0.0
     private var rejectedAt = now
 
+    /** Whether at least one whole token is available. */
     val hasToken: Boolean get() = tokens >= 1
 
     /** Adds the tokens accrued at [ratePerS] since the last refill, up to [capacity]. */
--- a/src/main/kotlin/org/honeyjunction/core/placement/CandidatePruning.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/CandidatePruning.kt
@@ -34,6 +34,7 @@
         /** Gangs, and jobs that are bound to one zone or spread over zones, need all their slots in one pass. */
         val needsSlotsAtOnce get() = isGang || sample.oneZone || sample.remainingPerZone != null
 
+        /** Whether a task of the job may start on the machine next to the tasks that already run there. */
         fun admits(capacity: FreeCapacity, scene: RuleTable.Scene, sceneIndex: Int) =
             sample.allows(capacity) && (sample.shape < 0 || !rules.bars(sample.shape, scene, sceneIndex, sample.mates))
 
@@ -129,8 +130,7 @@
             val allowed = jobs.filter { it.admits(capacity, scene, sceneIndex) }
             val cachesWantedImage = capacity.images.any { it in images }
             repeat(min(slotsInOnePass(allowed, capacity), rows)) {
-                candidates +=
-                    CandidateSlot(capacity, it, cachesWantedImage = cachesWantedImage) to allowed
+                candidates += CandidateSlot(capacity, it, cachesWantedImage = cachesWantedImage) to allowed
             }
         }
         candidates.sortWith(compareBy<Pair<CandidateSlot, List<JobRows>>> { it.first.cachesWantedImage }.thenBy { it.first.slotIndex })
--- a/src/main/kotlin/org/honeyjunction/core/placement/ColocationPlanner.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/ColocationPlanner.kt
@@ -13,13 +13,13 @@
     private val table = rules.table
 
     /** A machine's free capacity and its scene, which the rules are evaluated on; computed once for all places that are compared. */
-    private class Site(val capacity: FreeCapacity, val scene: RuleTable.Scene, val sceneIndex: Int)
+    private class MachineScene(val capacity: FreeCapacity, val scene: RuleTable.Scene, val sceneIndex: Int)
 
     /** A machine and how many of the job's tasks fit on it. */
-    private class SiteWithFit(val site: Site, val fittingTasks: Int)
+    private class MachineFit(val machine: MachineScene, val fittingTasks: Int)
 
-    private val sites by lazy(LazyThreadSafetyMode.NONE) {
-        summary.capacities.filter { it.place >= 0 }.map { capacity -> capacity.scene.let { Site(capacity, it, rules.scene(it)) } }
+    private val machineScenes by lazy(LazyThreadSafetyMode.NONE) {
+        summary.capacities.filter { it.place >= 0 }.map { capacity -> capacity.scene.let { MachineScene(capacity, it, rules.scene(it)) } }
     }
 
     /** The total cost of colocating a job's tasks at [place]; the choice with the fewest [unplaced] tasks is the best. */
@@ -54,37 +54,37 @@
     private fun bestChoice(sample: TaskRow, count: Int): Choice? {
         val labels = table.sameLabels(sample.shape)
         val usable =
-            sites
+            machineScenes
                 .filter { sample.allows(it.capacity) }
-                .map { SiteWithFit(it, minOf(sample.need.countIn(it.capacity.free), count)) }
+                .map { MachineFit(it, minOf(sample.need.countIn(it.capacity.free), count)) }
         return usable
-            .groupBy { candidate -> labels.map { table.places[candidate.site.capacity.place][it] } }
+            .groupBy { candidate -> labels.map { table.places[candidate.machine.capacity.place][it] } }
             .values
             .sortedByDescending { machines -> machines.sumOf { it.fittingTasks } }
             .take(MAX_PLACES)
-            .map { machines -> colocationCost(sample, count, usable, machines.first().site.capacity.place) }
+            .map { machines -> colocationCost(sample, count, usable, machines.first().machine.capacity.place) }
             .minWithOrNull(compareBy<Choice> { it.unplaced }.thenBy { it.ruleCost }.thenBy { it.fetchGb })
     }
 
-    private fun colocationCost(sample: TaskRow, count: Int, candidates: List<SiteWithFit>, place: Int): Choice {
+    private fun colocationCost(sample: TaskRow, count: Int, candidates: List<MachineFit>, place: Int): Choice {
         val mates = listOf(place)
         val dependsOnNeighbours = table.dependsOnNeighbours(sample.shape)
         // The cheapest cells so far, the most expensive one at the head, so that one comparison rejects most machines.
-        val cells = PriorityQueue(MOST_EXPENSIVE_FIRST)
+        val cheapestCells = PriorityQueue(MOST_EXPENSIVE_FIRST)
         for (candidate in candidates) {
-            val site = candidate.site
-            val fetchGb = if (sample.image in site.capacity.images) 0.0 else sample.imageGb
+            val machine = candidate.machine
+            val fetchGb = if (sample.image in machine.capacity.images) 0.0 else sample.imageGb
             for (position in 0 until candidate.fittingTasks) {
-                val scene = if (dependsOnNeighbours && position > 0) site.scene.with(sample.shape, position) else site.scene
-                val sceneIndex = if (scene === site.scene) site.sceneIndex else rules.scene(scene)
+                val scene = if (dependsOnNeighbours && position > 0) machine.scene.with(sample.shape, position) else machine.scene
+                val sceneIndex = if (scene === machine.scene) machine.sceneIndex else rules.scene(scene)
                 val cell = Cell(rules.cost(sample.shape, scene, sceneIndex, mates), fetchGb)
-                val complete = cells.size == count
-                if (cell.forbidden || complete && MOST_EXPENSIVE_FIRST.compare(cells.peek(), cell) >= 0) break
-                cells += cell
-                if (cells.size > count) cells.poll()
+                val isFull = cheapestCells.size == count
+                if (cell.forbidden || isFull && MOST_EXPENSIVE_FIRST.compare(cheapestCells.peek(), cell) >= 0) break
+                cheapestCells += cell
+                if (cheapestCells.size > count) cheapestCells.poll()
             }
         }
-        return Choice(place, count - cells.size, cells.sumOf { it.cost }, cells.sumOf { it.fetchGb })
+        return Choice(place, count - cheapestCells.size, cheapestCells.sumOf { it.cost }, cheapestCells.sumOf { it.fetchGb })
     }
 
     /** The cost of one task on one machine. */
--- a/src/main/kotlin/org/honeyjunction/core/placement/FirstFitEstimate.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/FirstFitEstimate.kt
@@ -52,7 +52,7 @@
 
     private fun reserveInOneZone(sample: TaskRow, count: Int): Int {
         val zones = candidates.filter { sample.allows(it.capacity, it.free) }.groupBy { it.capacity.zone }.values
-        val largestZone = zones.maxByOrNull { there -> there.sumOf { sample.need.countIn(it.free) } } ?: return 0
+        val largestZone = zones.maxByOrNull { candidatesInZone -> candidatesInZone.sumOf { sample.need.countIn(it.free) } } ?: return 0
         return reserveAmong(largestZone, sample, count)
     }
 
--- a/src/main/kotlin/org/honeyjunction/core/placement/RoundProgress.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/RoundProgress.kt
@@ -6,6 +6,8 @@
 internal class RoundProgress(private val summary: Summary) {
     private var capacities = summary.capacities
     private var waiting = summary.rows
+
+    /** The operators' rules, shared by all passes of the round. */
     val rules = RuleView(summary.rules)
 
     /** All proposals of the round so far, in the order in which they were made. */
@@ -13,11 +15,14 @@
 
     /** The input of the next pass. */
     val remaining get() = withRows(waiting)
+
+    /** Whether any rows still wait. */
     val hasWaiting get() = waiting.isNotEmpty()
 
     /** The remaining capacity with [rows] in place of all waiting rows. */
     fun withRows(rows: List<TaskRow>) = Summary(capacities, summary.teams, summary.slots, rows, summary.rules)
 
+    /** The rows of [job] that still wait. */
     fun rowsOf(job: Int): List<TaskRow> = waiting.filter { it.job == job }
 
     /** Leaves [job] out of the rest of this round. */
--- a/src/test/kotlin/org/honeyjunction/core/placement/PlacementRoundBenchmark.kt
+++ b/src/test/kotlin/org/honeyjunction/core/placement/PlacementRoundBenchmark.kt
@@ -87,11 +87,11 @@
         check(read.faults.isEmpty()) { read.faults }
         val book = RuleBook(cluster, RuleSet(if (rules == 0) 0 else 1, read.rules, topology))
         val specs =
-            (0 until 20).map { c ->
-                val kind = if (c % 4 == 3) JobKind.GANG else JobKind.ARRAY
+            (0 until 20).map { classIndex ->
+                val kind = if (classIndex % 4 == 3) JobKind.GANG else JobKind.ARRAY
                 JobSpec(
-                    "j-$c",
-                    "c$c",
+                    "j-$classIndex",
+                    "c$classIndex",
                     "a",
                     kind,
                     Priority.NORMAL,
@@ -103,7 +103,7 @@
                         17
                     },
                     Resources(4.0, 1.0, 8.0),
-                    "i${c % 6}",
+                    "i${classIndex % 6}",
                     5.0,
                     null,
                     null,
@@ -117,53 +117,53 @@
                 )
             }
         val capacities =
-            (0 until machines).map { m ->
-                val name = "vm-%02d%04d".format(m % 40, m)
-                val running = if (book.empty) IntArray(0) else intArrayOf(book.shape(specs[m % 20])).filter { it >= 0 }.toIntArray()
+            (0 until machines).map { machine ->
+                val name = "vm-%02d%04d".format(machine % 40, machine)
+                val running = if (book.empty) IntArray(0) else intArrayOf(book.shape(specs[machine % 20])).filter { it >= 0 }.toIntArray()
                 FreeCapacity(
-                    m,
-                    Resources(16.0, 1.0 + m % 2, 64.0),
+                    machine,
+                    Resources(16.0, 1.0 + machine % 2, 64.0),
                     0,
-                    m % 4,
-                    m % 3 == 0,
-                    intArrayOf(m % 6),
+                    machine % 4,
+                    machine % 3 == 0,
+                    intArrayOf(machine % 6),
                     fetchGbPerS = 1.0,
                     place =
                         book.place(
                             name,
                             0,
-                            m % 4,
-                            m % 3 == 0,
+                            machine % 4,
+                            machine % 3 == 0,
                         ),
                     running = running,
                 )
             }
         val rows =
             specs
-                .flatMapIndexed { j, s ->
-                    List(s.tasks) {
+                .flatMapIndexed { job, spec ->
+                    List(spec.tasks) {
                         TaskRow(
-                            j,
+                            job,
                             it,
                             0,
-                            s.priority,
+                            spec.priority,
                             5_000,
-                            s.need,
-                            j % 6,
-                            s.imageGb,
+                            spec.need,
+                            job % 6,
+                            spec.imageGb,
                             -1,
                             -1,
                             true,
                             false,
-                            if (s.kind ==
+                            if (spec.kind ==
                                 JobKind.GANG
                             ) {
-                                s.tasks
+                                spec.tasks
                             } else {
                                 0
                             },
                             true,
-                            shape = book.shape(s),
+                            shape = book.shape(spec),
                         )
                     }
                 }.take(256)
--- a/src/test/kotlin/org/honeyjunction/core/placement/RulesPlacementTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/placement/RulesPlacementTest.kt
@@ -275,13 +275,13 @@
                 "machine runs class \"c\"",
             )
         val clause =
-            Combinators.combine(test, Arbitraries.integers().between(1, 9).injectNull(0.4)).`as` { t, w ->
-                if (w ==
+            Combinators.combine(test, Arbitraries.integers().between(1, 9).injectNull(0.4)).`as` { condition, weight ->
+                if (weight ==
                     null
                 ) {
-                    "must $t"
+                    "must $condition"
                 } else {
-                    "prefer $t weight $w.25"
+                    "prefer $condition weight $weight.25"
                 }
             }
         val rule =
@@ -289,7 +289,7 @@
                 .combine(
                     Arbitraries.of("class \"q\"", "class \"s\"", "not class \"q\"", "all"),
                     clause.list().ofMinSize(1).ofMaxSize(2),
-                ).`as` { w, c -> "rule \"r\" for $w { ${c.joinToString(" ")} }" }
+                ).`as` { selector, clauses -> "rule \"r\" for $selector { ${clauses.joinToString(" ")} }" }
         return Combinators
             .combine(
                 rule.list().ofMaxSize(3),
@@ -355,14 +355,14 @@
                     // The new task may also violate rules of the running tasks. Of these rules only "must ... runs class b" could be
                     // violated, and no such rule applies to class b itself.
                     val breaksRunning =
-                        runningThere[m].any { o ->
+                        runningThere[m].any { runningTask ->
                             reference
                                 .judge(
-                                    o,
+                                    runningTask,
                                     fixture.machineSpec(m),
                                     emptyList(),
                                     listOf(fixture.machineSpec(m)),
-                                ).zip(reference.judge(o, fixture.machineSpec(m), listOf(spec), listOf(fixture.machineSpec(m))))
+                                ).zip(reference.judge(runningTask, fixture.machineSpec(m), listOf(spec), listOf(fixture.machineSpec(m))))
                                 .any { (x, y) ->
                                     x.must &&
                                         x.met &&
