--- a/src/main/kotlin/org/honeyjunction/app/Election.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Election.kt
@@ -12,7 +12,7 @@
 import java.io.IOException
 
 /**
- * A term that this node won. [leadVersion] is the version of [Keys.LEAD] on which all writes of the term are conditional, so that
+ * A term that this node won. [leadVersion] is the version of [Keys.LEADER_RECORD] on which all writes of the term are conditional, so that
  * they fail once another term has begun; [lease] is the state service's number of the lease, and [validUntil] the end of the
  * lease as this node counts it, in steady milliseconds.
  */
@@ -47,14 +47,14 @@
 
     /** Reads who leads; with [mayAcquire], acquires the term where nobody does. Returns the term if this node won it. */
     suspend fun observeOrAcquire(mayAcquire: Boolean): Term? {
-        val lead = state.get(Keys.LEAD)
+        val lead = state.get(Keys.LEADER_RECORD)
         lastResponseAt = clock.steady()
         val value = lead.value
         if (value == null) {
             leader = null
             return if (mayAcquire) acquire() else null
         }
-        leader = value.text(Keys.LEADER)
+        leader = value.text(Keys.LEADER_FIELD)
         observeTerm(value.count("term"))
         return if (leader == node) reclaim(lead.lease, lead.version) else null
     }
@@ -80,9 +80,9 @@
         val current = Attempt(next, lease, sentAt).also { attempt = it }
         val version =
             state.commitNow(
-                listOf(Condition(Keys.LEAD, 0), Condition(Keys.TERM, last.version)),
+                listOf(Condition(Keys.LEADER_RECORD, 0), Condition(Keys.TERM, last.version)),
                 listOf(
-                    Write(Keys.LEAD, Json.obj().put(Keys.LEADER, node).put("term", next), lease),
+                    Write(Keys.LEADER_RECORD, Json.obj().put(Keys.LEADER_FIELD, node).put("term", next), lease),
                     Write(Keys.TERM, Json.obj().put("term", next)),
                 ),
             )
--- a/src/main/kotlin/org/honeyjunction/app/JobStatusReader.kt
+++ b/src/main/kotlin/org/honeyjunction/app/JobStatusReader.kt
@@ -75,7 +75,7 @@
      */
     suspend fun readRecord(id: String): StoredJob? {
         val active = node.state.get(Keys.job(id))
-        val entry = if (active.value != null) active else node.state.get(Keys.final(id))
+        val entry = if (active.value != null) active else node.state.get(Keys.terminalRecord(id))
         return try {
             entry.value?.let { JobCodec.stored(it, entry.version) }
         } catch (e: MalformedException) {
--- a/src/main/kotlin/org/honeyjunction/app/JobSubmission.kt
+++ b/src/main/kotlin/org/honeyjunction/app/JobSubmission.kt
@@ -93,7 +93,7 @@
 
     private suspend fun record(spec: JobSpec, priority: WritePriority): Response {
         val record = JobCodec.record(spec, node.settings.node, node.clock.wall(), JobStage.ACTIVE)
-        val absent = listOf(Condition(Keys.job(spec.id), 0), Condition(Keys.final(spec.id), 0))
+        val absent = listOf(Condition(Keys.job(spec.id), 0), Condition(Keys.terminalRecord(spec.id), 0))
         return when (node.state.commit(absent, listOf(Write(Keys.job(spec.id), record)), priority, spec.team)) {
             is CompareAndSwapOutcome.Applied -> accepted(201, spec.id, JobStatus(JobStage.ACTIVE, 0, 0))
             // Accepted by another node a moment ago, or by an earlier attempt of this write.
--- a/src/main/kotlin/org/honeyjunction/app/Keys.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Keys.kt
@@ -3,31 +3,31 @@
 /** The keys under which controllers store what must outlive them; stored data depends on them, so they never change. */
 object Keys {
     /** The leader and its term, under the leader's lease; its version fences every write of the leader. */
-    const val LEAD = "lead"
+    const val LEADER_RECORD = "lead"
 
-    /** The field of [LEAD] that names the leader; earlier versions read it too. */
-    const val LEADER = "holder"
+    /** The field of [LEADER_RECORD] that names the leader; earlier versions read it too. */
+    const val LEADER_FIELD = "holder"
 
     /** The highest term there has been. */
     const val TERM = "term"
 
     /** The machine types as the cloud last reported them. */
-    const val TYPES = "types"
+    const val MACHINE_TYPES = "types"
 
-    /** Records of active jobs, by job; a terminal record may stay here for a while before it moves to [FINAL]. */
+    /** Records of active jobs, by job; a terminal record may stay here for a while before it moves to [TERMINAL_RECORDS]. */
     const val JOBS = "j/"
 
     /** Terminal records, by job. */
-    const val FINAL = "f/"
+    const val TERMINAL_RECORDS = "f/"
 
     /** Pages of the placement journal, by number. */
-    const val PAGES = "l/"
+    const val JOURNAL_PAGES = "l/"
 
     /** Pages of machines' checkpoints, by number. */
-    const val HINTS = "h/"
+    const val MACHINE_CHECKPOINTS = "h/"
 
     /** The checkpoint of leader state: jobs that fail wherever they are tried, and boot times. */
-    const val MARKS = "learned"
+    const val LEADER_CHECKPOINT = "learned"
 
     /** The head of the rules in force: version, hash, and number of parts. */
     const val RULES = "rules"
@@ -49,9 +49,9 @@
 
     fun job(id: String) = "$JOBS$id"
 
-    fun final(id: String) = "$FINAL$id"
+    fun terminalRecord(id: String) = "$TERMINAL_RECORDS$id"
 
-    fun page(number: Int) = "$PAGES$number"
+    fun journalPage(number: Int) = "$JOURNAL_PAGES$number"
 
-    fun hints(number: Int) = "$HINTS$number"
+    fun machineCheckpoints(number: Int) = "$MACHINE_CHECKPOINTS$number"
 }
--- a/src/main/kotlin/org/honeyjunction/app/MachineTypeRefresh.kt
+++ b/src/main/kotlin/org/honeyjunction/app/MachineTypeRefresh.kt
@@ -27,7 +27,7 @@
                     val body = cloud.machineTypes()
                     use(body)
                     if (node.isLeader && !body.contentEquals(storedBody)) {
-                        node.state.commit(emptyList(), listOf(Write(Keys.TYPES, Json.read(body))))
+                        node.state.commit(emptyList(), listOf(Write(Keys.MACHINE_TYPES, Json.read(body))))
                         storedBody = body
                     }
                 }
@@ -41,7 +41,7 @@
     private suspend fun readStored() {
         try {
             node.state
-                .get(Keys.TYPES)
+                .get(Keys.MACHINE_TYPES)
                 .value
                 ?.let { use(Json.write(it)) }
         } catch (e: IOException) {
--- a/src/main/kotlin/org/honeyjunction/app/StatusQueries.kt
+++ b/src/main/kotlin/org/honeyjunction/app/StatusQueries.kt
@@ -35,8 +35,8 @@
      */
     val accepted =
         CoalescedQueries<Boolean>(node.scope, node.clock, RequestCoalescer(readIntervalMs, maxComparedJobs(), MAX_WAIT_MS)) { ids ->
-            val existing = node.state.existing(ids.flatMap { listOf(Keys.job(it), Keys.final(it)) })
-            ids.associateWith { Keys.job(it) in existing || Keys.final(it) in existing }
+            val existing = node.state.existing(ids.flatMap { listOf(Keys.job(it), Keys.terminalRecord(it)) })
+            ids.associateWith { Keys.job(it) in existing || Keys.terminalRecord(it) in existing }
         }
 
     private fun maxComparedJobs() = limits.transactionWrites * CONDITIONS_PER_WRITE / KEYS_PER_JOB
--- a/src/main/kotlin/org/honeyjunction/app/TermRecovery.kt
+++ b/src/main/kotlin/org/honeyjunction/app/TermRecovery.kt
@@ -28,12 +28,13 @@
      */
     suspend fun recover(terminalRecords: TerminalRecordPlacement?): RecoveredTerm {
         val (jobEntries, revision) = state.scan(Keys.JOBS)
-        val pages = state.scan(Keys.PAGES).entries.mapNotNull(::journalPage)
-        val machines = state.scan(Keys.HINTS).entries.flatMap(::machineCheckpoints)
+        val pages = state.scan(Keys.JOURNAL_PAGES).entries.mapNotNull(::journalPage)
+        val machines = state.scan(Keys.MACHINE_CHECKPOINTS).entries.flatMap(::machineCheckpoints)
         val (active, over) = jobEntries.mapNotNull(::storedJob).partition { it.stage == JobStage.ACTIVE }
         over.forEach { terminalRecords?.addInPlace(it.spec.id) }
         val jobs = withStartedJobs(active, over, pages)
-        val checkpoint = state.get(Keys.MARKS).value?.let { value -> orNull { CheckpointCodec.readLeader(value) } } ?: LeaderCheckpoint()
+        val checkpoint =
+            state.get(Keys.LEADER_CHECKPOINT).value?.let { value -> orNull { CheckpointCodec.readLeader(value) } } ?: LeaderCheckpoint()
         return RecoveredTerm(RecoveredState(jobs, pages, machines, checkpoint), revision)
     }
 
@@ -45,7 +46,7 @@
         return missing.mapNotNullTo(jobs) { terminalRecord(it) }
     }
 
-    private suspend fun terminalRecord(id: String): StoredJob? = storedJob(state.get(Keys.final(id)))
+    private suspend fun terminalRecord(id: String): StoredJob? = storedJob(state.get(Keys.terminalRecord(id)))
 
     private fun storedJob(entry: Entry): StoredJob? = entry.value?.let { value -> orNull { JobCodec.stored(value, entry.version) } }
 
@@ -53,7 +54,7 @@
         orNull { entry.value?.let(CheckpointCodec::readMachines) }.orEmpty()
 
     private fun journalPage(entry: Entry): JournalPageRecord? {
-        val number = entry.key.removePrefix(Keys.PAGES).toIntOrNull() ?: return null
+        val number = entry.key.removePrefix(Keys.JOURNAL_PAGES).toIntOrNull() ?: return null
         return entry.value?.let { JournalPageCodec.read(number, entry.version, it) }
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/leader/ChangeEncoder.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/ChangeEncoder.kt
@@ -16,7 +16,7 @@
     /** The version that the changed record must have, where only this term writes it. */
     fun condition(change: Change): Condition? =
         when (change) {
-            is Change.JournalPage -> Condition(Keys.page(change.record.page), change.record.version)
+            is Change.JournalPage -> Condition(Keys.journalPage(change.record.page), change.record.version)
             is Change.JobFinished -> Condition(Keys.job(change.job), change.version)
             is Change.MachineCheckpoints, is Change.Checkpoint -> null
         }
@@ -24,9 +24,11 @@
     /** [inPlace]: a terminal record is written over the record of the active job. */
     fun writes(change: Change, inPlace: Boolean): List<Write> =
         when (change) {
-            is Change.JournalPage -> listOf(Write(Keys.page(change.record.page), JournalPageCodec.write(change.record, change.writeId)))
-            is Change.MachineCheckpoints -> listOf(Write(Keys.hints(change.page), CheckpointCodec.writeMachines(change.machines)))
-            is Change.Checkpoint -> listOf(Write(Keys.MARKS, CheckpointCodec.writeLeader(change.checkpoint)))
+            is Change.JournalPage ->
+                listOf(Write(Keys.journalPage(change.record.page), JournalPageCodec.write(change.record, change.writeId)))
+            is Change.MachineCheckpoints ->
+                listOf(Write(Keys.machineCheckpoints(change.page), CheckpointCodec.writeMachines(change.machines)))
+            is Change.Checkpoint -> listOf(Write(Keys.LEADER_CHECKPOINT, CheckpointCodec.writeLeader(change.checkpoint)))
             is Change.JobFinished -> terminalRecord(change, inPlace)
         }
 
@@ -36,6 +38,6 @@
         val createdAt = clock.wall() - (clock.steady() - job.createdAt)
         val record = JobCodec.record(job.spec, job.owner, createdAt.coerceAtLeast(0), stage)
         if (inPlace) return listOf(Write(Keys.job(change.job), record))
-        return listOf(Write(Keys.final(change.job), record), Write(Keys.job(change.job), null))
+        return listOf(Write(Keys.terminalRecord(change.job), record), Write(Keys.job(change.job), null))
     }
 }
--- a/src/main/kotlin/org/honeyjunction/app/leader/CommitExecutor.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/CommitExecutor.kt
@@ -66,7 +66,7 @@
     private suspend fun explainRefusal(changes: List<Change>): CommitOutcome =
         try {
             when {
-                state.get(Keys.LEAD).version != context.term.leadVersion -> termLost("the term was taken")
+                state.get(Keys.LEADER_RECORD).version != context.term.leadVersion -> termLost("the term was taken")
                 changes.any { it is Change.JournalPage } -> checkNotNull(journalPageOutcome(changes))
                 // In doubt until its record is read.
                 changes.any { it is Change.JobFinished } -> CommitOutcome.Failed()
@@ -90,7 +90,7 @@
         val page = changes.firstNotNullOfOrNull { it as? Change.JournalPage } ?: return null
         while (true) {
             try {
-                val entry = state.get(Keys.page(page.record.page))
+                val entry = state.get(Keys.journalPage(page.record.page))
                 val applied = JournalPageCodec.writeNumber(entry.value) == page.writeId
                 return if (applied) CommitOutcome.Applied(entry.version) else CommitOutcome.Failed(entry.version)
             } catch (e: IOException) {
--- a/src/main/kotlin/org/honeyjunction/app/leader/JobRecordReader.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/JobRecordReader.kt
@@ -44,7 +44,7 @@
     /** A record moves from the active keys to the terminal ones and never back, so it is looked up in this order. */
     private suspend fun record(job: String): JobRecord {
         val active = state.get(Keys.job(job))
-        val value = active.value ?: state.get(Keys.final(job)).value ?: return JobRecord.Absent
+        val value = active.value ?: state.get(Keys.terminalRecord(job)).value ?: return JobRecord.Absent
         val stage = JobCodec.stored(value, active.version).stage
         if (stage == JobStage.ACTIVE) return JobRecord.Active(active.version)
         if (active.value != null) recordPlacement?.addInPlace(job)
--- a/src/main/kotlin/org/honeyjunction/app/leader/TerminalRecordMover.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/TerminalRecordMover.kt
@@ -43,7 +43,7 @@
         val record = entry.value ?: return true
         if (JobCodec.stored(record, entry.version).stage == JobStage.ACTIVE) return true
         val conditions = listOf(context.fence, Condition(Keys.job(job), entry.version))
-        val writes = listOf(Write(Keys.final(job), record), Write(Keys.job(job), null))
+        val writes = listOf(Write(Keys.terminalRecord(job), record), Write(Keys.job(job), null))
         return state.commit(conditions, writes) is CompareAndSwapOutcome.Applied
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/nomad/NativeStatus.kt
+++ b/src/main/kotlin/org/honeyjunction/app/nomad/NativeStatus.kt
@@ -109,7 +109,7 @@
         }
         for (id in ids) {
             if (id !in known) {
-                val value = node.state.get(Keys.final(id)).value ?: continue
+                val value = node.state.get(Keys.terminalRecord(id)).value ?: continue
                 val stored = JobCodec.stored(value, 0)
                 val done = stored.stage == JobStage.DONE
                 known[id] =
--- a/src/main/kotlin/org/honeyjunction/app/nomad/NomadLeader.kt
+++ b/src/main/kotlin/org/honeyjunction/app/nomad/NomadLeader.kt
@@ -42,7 +42,7 @@
     private var rulesAt = -1L
     private val watched = HashMap<String, Watched>()
     private val state get() = node.state
-    private val fence get() = Condition(Keys.LEAD, driver.term.leadVersion)
+    private val fence get() = Condition(Keys.LEADER_RECORD, driver.term.leadVersion)
     private val names = (node.settings.peers.map { it.name } + node.settings.node).sorted()
 
     suspend fun run() {
@@ -119,7 +119,7 @@
     /** Reads what only the state service can tell. Nobody else can submit in this term, so what was absent stays so. */
     private suspend fun learn(piece: Piece) {
         if (driver.leader.status(piece.id) != null || piece.id in records) return
-        val final = state.get(Keys.final(piece.id)).value
+        val final = state.get(Keys.terminalRecord(piece.id)).value
         records[piece.id] =
             when {
                 final != null -> if (JobCodec.stored(final, 0).stage == JobStage.DONE) Record.DONE else Record.CANCELLED
@@ -147,7 +147,7 @@
         val spec = NomadRegistry.spec(job, piece.group, piece.id, piece.size) ?: return
         val record = JobCodec.record(spec, names[Math.floorMod(piece.id.hashCode(), names.size)], node.clock.wall(), JobStage.ACTIVE)
         val conditions =
-            listOf(fence, Condition(kept.key, kept.version), Condition(Keys.job(piece.id), 0), Condition(Keys.final(piece.id), 0))
+            listOf(fence, Condition(kept.key, kept.version), Condition(Keys.job(piece.id), 0), Condition(Keys.terminalRecord(piece.id), 0))
         when (state.commit(conditions, listOf(Write(Keys.job(piece.id), record)))) {
             is CompareAndSwapOutcome.Applied -> records[piece.id] = Record.SUBMITTED
             // Known already, or the head has changed: both are read anew.
--- a/src/test/kotlin/org/honeyjunction/app/CancellationDuringHandoverTest.kt
+++ b/src/test/kotlin/org/honeyjunction/app/CancellationDuringHandoverTest.kt
@@ -15,7 +15,7 @@
     private enum class Moment { OLD_TERM, NO_TERM, BEING_READ, BEFORE_A_REPORT, HELD }
 
     private fun FaultyStateServiceCluster.moment(before: Long): Moment {
-        val term = loopback.store[Keys.LEAD]?.value?.path("term")?.longValue() ?: return Moment.NO_TERM
+        val term = loopback.store[Keys.LEADER_RECORD]?.value?.path("term")?.longValue() ?: return Moment.NO_TERM
         if (term == before) return Moment.OLD_TERM
         val leader =
             (0 until FaultyStateServiceCluster.NODES)
--- a/src/test/kotlin/org/honeyjunction/app/UnknownWriteOutcomeTest.kt
+++ b/src/test/kotlin/org/honeyjunction/app/UnknownWriteOutcomeTest.kt
@@ -36,16 +36,16 @@
                     (value == null) == removed
             }
         return when {
-            any(Keys.LEAD) -> "the term"
-            any(Keys.FINAL) -> "a final record"
+            any(Keys.LEADER_RECORD) -> "the term"
+            any(Keys.TERMINAL_RECORDS) -> "a final record"
             puts.any { (key, value, _) ->
                 key.startsWith(Keys.JOBS) && value?.path("stage")?.asText().let { it != null && it != "ACTIVE" }
             } -> "a final record in place"
             any(Keys.JOBS) -> "an acceptance"
-            any(Keys.PAGES) -> "a page"
-            any(Keys.HINTS) -> "hints"
-            any(Keys.MARKS) -> "marks"
-            any(Keys.TYPES) -> "machine types"
+            any(Keys.JOURNAL_PAGES) -> "a page"
+            any(Keys.MACHINE_CHECKPOINTS) -> "hints"
+            any(Keys.LEADER_CHECKPOINT) -> "marks"
+            any(Keys.MACHINE_TYPES) -> "machine types"
             else -> ""
         }
     }
--- a/src/test/kotlin/org/honeyjunction/wire/GoldenStored.kt
+++ b/src/test/kotlin/org/honeyjunction/wire/GoldenStored.kt
@@ -30,15 +30,15 @@
     /** What a key is for, and the key. */
     val keys: Map<String, String> =
         linkedMapOf(
-            "who holds the term" to Keys.LEAD,
-            "field of the holder" to Keys.LEADER,
+            "who holds the term" to Keys.LEADER_RECORD,
+            "field of the holder" to Keys.LEADER_FIELD,
             "highest term" to Keys.TERM,
-            "machine types" to Keys.TYPES,
+            "machine types" to Keys.MACHINE_TYPES,
             "prefix of jobs" to Keys.JOBS,
-            "prefix of final records" to Keys.FINAL,
-            "prefix of pages" to Keys.PAGES,
-            "prefix of hints" to Keys.HINTS,
-            "marks" to Keys.MARKS,
+            "prefix of final records" to Keys.TERMINAL_RECORDS,
+            "prefix of pages" to Keys.JOURNAL_PAGES,
+            "prefix of hints" to Keys.MACHINE_CHECKPOINTS,
+            "marks" to Keys.LEADER_CHECKPOINT,
             "head of the rules" to Keys.RULES,
             "prefix of rule parts" to Keys.RULE_PARTS,
             "prefix of registered heads" to Keys.NOMAD_HEADS,
@@ -47,9 +47,9 @@
             "a registered part" to Keys.nomadPart("born-7", "d1ge57", 12),
             "a rule part" to Keys.rulePart("4a54", 3),
             "a job" to Keys.job("j-000412"),
-            "a final record" to Keys.final("j-000413"),
-            "a page" to Keys.page(17),
-            "a page of hints" to Keys.hints(5),
+            "a final record" to Keys.terminalRecord("j-000413"),
+            "a page" to Keys.journalPage(17),
+            "a page of hints" to Keys.machineCheckpoints(5),
         )
 
     /** Every optional field is there. */
@@ -210,7 +210,7 @@
     private const val EARLIER_PAGE = """{"write":8,"starts":["j-1",3,5,"vm-é1","j-2",[4,6,7],9,"vm-2"],"done":{"j-3":[1,2,3],"j-4":5}}"""
 
     /** As the leader stores what the cloud told it. */
-    private fun storedTypes() = checkNotNull(Write(Keys.TYPES, Json.read(OtherSide.types(types, zones))).json)
+    private fun storedTypes() = checkNotNull(Write(Keys.MACHINE_TYPES, Json.read(OtherSide.types(types, zones))).json)
 
     private fun typesAgain(body: ByteArray): ByteArray {
         val cluster = cluster()
