--- a/src/main/kotlin/org/honeyjunction/app/ExplainCommand.kt
+++ b/src/main/kotlin/org/honeyjunction/app/ExplainCommand.kt
@@ -31,19 +31,19 @@
 
     override fun call(): Int {
         if (!JOB_OR_TASK.matches(jobOrTask)) {
-            return complain("'$jobOrTask' is not a job or task: like j-000412 or j-000412/3", Status.USAGE)
+            return printError("'$jobOrTask' is not a job or task: like j-000412 or j-000412/3", ExitStatus.USAGE)
         }
         return try {
             val response = OperatorClient.at(at).ask("GET", "${JobApi.JOBS_PATH}/$jobOrTask${RulesApi.EXPLAIN_SUFFIX}")
-            if (response.status != 200) return complain(OperatorClient.why(response), Status.FAILED)
+            if (response.status != 200) return printError(OperatorClient.why(response), ExitStatus.FAILED)
             ExplainCodec.lines(Json.readObject(response.body)).forEach(::println)
-            Status.OK
+            ExitStatus.OK
         } catch (e: IllegalArgumentException) {
-            complain("--at: ${e.message}", Status.USAGE)
+            printError("--at: ${e.message}", ExitStatus.USAGE)
         } catch (e: IOException) {
-            complain(e.message!!, Status.NO_ANSWER)
+            printError(e.message!!, ExitStatus.NO_ANSWER)
         } catch (e: MalformedException) {
-            complain("the answer can't be read: ${e.message}", Status.FAILED)
+            printError("the answer can't be read: ${e.message}", ExitStatus.FAILED)
         }
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/Main.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Main.kt
@@ -42,7 +42,7 @@
 
     override fun call(): Int {
         spec.commandLine().usage(System.err)
-        return Status.USAGE
+        return ExitStatus.USAGE
     }
 }
 
@@ -79,23 +79,23 @@
     override fun call(): Int {
         if (schema) {
             println(OperatorSettings.schemaText())
-            return Status.OK
+            return ExitStatus.OK
         }
         if (rehearse) return WarmUp.run()
-        val file = config ?: return complain("--config FILE is needed", Status.USAGE)
+        val file = config ?: return printError("--config FILE is needed", ExitStatus.USAGE)
         val (settings, tuning, nomad) =
             try {
                 val operators = operator?.let(OperatorSettings::read)
-                Triple(Files.named(file) { Settings.read(file) }, operators?.tuning ?: Tuning(), operators?.nomad)
+                Triple(Files.withFileName(file) { Settings.read(file) }, operators?.tuning ?: Tuning(), operators?.nomad)
             } catch (e: MalformedException) {
-                return complain(e.message!!, Status.BAD_FILE)
+                return printError(e.message!!, ExitStatus.BAD_FILE)
             } catch (e: IOException) {
-                return complain(e.message!!, Status.BAD_FILE)
+                return printError(e.message!!, ExitStatus.BAD_FILE)
             }
         settings.warnings.forEach { System.err.println("honeyjunction: $file: $it") }
         if (check) {
             println("$file is good")
-            return Status.OK
+            return ExitStatus.OK
         }
         return serve(settings, tuning, nomad)
     }
@@ -109,11 +109,11 @@
             node.start()
         } catch (e: IOException) {
             val addresses = listOfNotNull(settings.listen, settings.peerListen, nomad?.takeIf { it.on }?.listen)
-            return complain("can't listen on ${addresses.joinToString(" or ")}: ${e.message}", Status.CANT_LISTEN)
+            return printError("can't listen on ${addresses.joinToString(" or ")}: ${e.message}", ExitStatus.CANT_LISTEN)
         }
         // Runs until the process is killed.
         CountDownLatch(1).await()
-        return Status.OK
+        return ExitStatus.OK
     }
 }
 
@@ -137,9 +137,9 @@
     val status =
         command
             .setExecutionExceptionHandler { e, _, _ ->
-                complain("internal error: $e", Status.FAILED)
+                printError("internal error: $e", ExitStatus.FAILED)
             }.execute(*args)
     // A full disk or a closed pipe: the output has not arrived, whatever was done.
-    val outputLost = System.out.checkError() && status == Status.OK
-    exitProcess(if (outputLost) complain("the output can't be written", Status.FAILED) else status)
+    val outputLost = System.out.checkError() && status == ExitStatus.OK
+    exitProcess(if (outputLost) printError("the output can't be written", ExitStatus.FAILED) else status)
 }
--- a/src/main/kotlin/org/honeyjunction/app/OperatorClient.kt
+++ b/src/main/kotlin/org/honeyjunction/app/OperatorClient.kt
@@ -62,9 +62,9 @@
     try {
         run()
     } catch (e: MalformedException) {
-        complain(e.message!!, Status.BAD_FILE)
+        printError(e.message!!, ExitStatus.BAD_FILE)
     } catch (e: IllegalArgumentException) {
-        complain("--at: ${e.message}", Status.USAGE)
+        printError("--at: ${e.message}", ExitStatus.USAGE)
     } catch (e: IOException) {
-        complain(e.message!!, if (e is BadFileException) Status.BAD_FILE else Status.NO_ANSWER)
+        printError(e.message!!, if (e is UnreadableFileException) ExitStatus.BAD_FILE else ExitStatus.NO_ANSWER)
     }
--- a/src/main/kotlin/org/honeyjunction/app/OperatorSettings.kt
+++ b/src/main/kotlin/org/honeyjunction/app/OperatorSettings.kt
@@ -21,7 +21,7 @@
 
     fun schemaText(): String = checkNotNull(javaClass.classLoader.getResource(SCHEMA)).readText()
 
-    /** The settings in [file]; throws [MalformedException] with the file's name in front, or [BadFileException]. */
+    /** The settings in [file]; throws [MalformedException] with the file's name in front, or [UnreadableFileException]. */
     fun read(file: Path): Operators = Files.json(file, "") { Operators(parse(it), nomad(it)) }
 
     /** The settings of scheduling in [settings], defaults where it has none; throws [MalformedException] with all faults. */
--- a/src/main/kotlin/org/honeyjunction/app/RulesCommand.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RulesCommand.kt
@@ -57,11 +57,11 @@
             val topologyName = topology?.toString() ?: "topology"
             val checked = document(file, topology).check(0, known, file.toString(), topologyName, rulesOnly = topology == null)
             (checked.errors + checked.warnings).forEach(System.err::println)
-            val set = checked.set ?: return Status.FAILED
+            val set = checked.set ?: return ExitStatus.FAILED
             val clauses = set.rules.flatMap { it.clauses }
             val (must, prefer) = clauses.partition { it.weight == null }
             println("$file: ${set.rules.size} rules, ${must.size} must, ${prefer.size} prefer; ${checked.warnings.size} warnings")
-            Status.OK
+            ExitStatus.OK
         }
 
     @Command(
@@ -84,7 +84,7 @@
             val document = document(file, topology)
             val checked = document.check(0, null, file.toString(), topology?.toString() ?: "topology")
             (checked.errors + checked.warnings).forEach(System.err::println)
-            if (checked.set == null) return Status.FAILED
+            if (checked.set == null) return ExitStatus.FAILED
             val body = document.write(Json.obj()).apply { expect?.let { put("expect", it) } }
             val client = OperatorClient.at(at)
             val response = client.ask("POST", RulesApi.RULES_PATH, Json.write(body))
@@ -93,7 +93,7 @@
             println("version $version is durable")
             val inForce = isInForce(client, version)
             println(if (inForce) "version $version is in force" else "the leader has not told yet that it goes by version $version")
-            Status.OK
+            ExitStatus.OK
         }
 
     /** Whether the leader places by [version] or a later one, which takes it some moments. */
@@ -116,7 +116,7 @@
             }
         val errors = body.listOrEmpty("errors").mapNotNull { it.textValue() }.ifEmpty { listOf(OperatorClient.why(response)) }
         errors.forEach { System.err.println("honeyjunction: $it") }
-        return Status.FAILED
+        return ExitStatus.FAILED
     }
 
     @Command(
@@ -137,7 +137,7 @@
             val response = OperatorClient.at(at).ask("GET", RulesApi.RULES_PATH)
             if (response.status != 200) return refused(response)
             val stored: ObjectNode = Json.readObject(response.body)
-            if (topology) return Status.OK.also { println(stored.given("topology")?.toPrettyString() ?: "{}") }
+            if (topology) return ExitStatus.OK.also { println(stored.given("topology")?.toPrettyString() ?: "{}") }
             val version = stored.count("version")
             val leaderNote =
                 when (val inForce = stored.given("in_force")?.longValue()) {
@@ -147,13 +147,13 @@
                 }
             println("# version $version$leaderNote")
             print(stored.given("rules")?.textValue().orEmpty())
-            Status.OK
+            ExitStatus.OK
         }
 
     @Command(name = "schema", mixinStandardHelpOptions = true, description = ["Prints the schema of the topology file."])
     fun schema(): Int {
         println(TopologyReader.schemaText())
-        return Status.OK
+        return ExitStatus.OK
     }
 
     private companion object {
--- a/src/main/kotlin/org/honeyjunction/app/Settings.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Settings.kt
@@ -52,7 +52,7 @@
                 "cancellation is confirmed only when all tasks of the job are gone"
 
     companion object {
-        /** The settings in [file]; throws [MalformedException] with the path of the wrong field, or [BadFileException]. */
+        /** The settings in [file]; throws [MalformedException] with the path of the wrong field, or [UnreadableFileException]. */
         fun read(file: Path): Settings = parse(Json.readObject(Files.bytes(file)))
 
         /** The settings in [file]'s object; throws [MalformedException] with the path of the wrong field. */
--- a/src/main/kotlin/org/honeyjunction/app/TimelineCommand.kt
+++ b/src/main/kotlin/org/honeyjunction/app/TimelineCommand.kt
@@ -39,10 +39,10 @@
             try {
                 files.map { readLog(it) }
             } catch (e: UnreadableLogException) {
-                return complain(e.message, Status.BAD_FILE)
+                return printError(e.message, ExitStatus.BAD_FILE)
             }
         Timeline.merge(logs.map { it.entries }).flatMap { render(it) }.forEach(::println)
-        return Status.OK
+        return ExitStatus.OK
     }
 
     private fun readLog(file: Path): NodeLog {
--- a/src/main/kotlin/org/honeyjunction/app/local/LocalCommand.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/LocalCommand.kt
@@ -1,9 +1,9 @@
 package org.honeyjunction.app.local
 
+import org.honeyjunction.app.ExitStatus
 import org.honeyjunction.app.Files
 import org.honeyjunction.app.OperatorSettings
-import org.honeyjunction.app.Status
-import org.honeyjunction.app.complain
+import org.honeyjunction.app.printError
 import org.honeyjunction.core.control.leader.Tuning
 import org.honeyjunction.fake.Fault
 import org.honeyjunction.fake.JobFile
@@ -128,14 +128,14 @@
                 checkOptions()
                 faults.map(Fault::parse)
             } catch (invalid: IllegalArgumentException) {
-                return complain(invalid.message!!, Status.USAGE)
+                return printError(invalid.message!!, ExitStatus.USAGE)
             }
         return try {
             run(parsed)
         } catch (malformed: MalformedException) {
-            complain(malformed.message!!, Status.BAD_FILE)
+            printError(malformed.message!!, ExitStatus.BAD_FILE)
         } catch (unreadable: IOException) {
-            complain(unreadable.message!!, Status.BAD_FILE)
+            printError(unreadable.message!!, ExitStatus.BAD_FILE)
         }
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/local/LocalRun.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/LocalRun.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.async
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.runBlocking
-import org.honeyjunction.app.Status
+import org.honeyjunction.app.ExitStatus
 import org.honeyjunction.core.control.jobs.PendingReason
 import org.honeyjunction.core.model.JobKind
 import org.honeyjunction.fake.FakeUsers
@@ -39,7 +39,7 @@
         registered.register()
         runBlocking { loopback.loop.scope.async { follow() }.await() }
         val ended = registered.await(withinS, stop = !serve)
-        val status = maxOf(Outcome.print(cluster, explain), if (ended) Status.OK else Status.FAILED)
+        val status = maxOf(Outcome.print(cluster, explain), if (ended) ExitStatus.OK else ExitStatus.FAILED)
         while (serve) Thread.sleep(1_000)
         return status
     }
--- a/src/main/kotlin/org/honeyjunction/app/local/Outcome.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/Outcome.kt
@@ -1,9 +1,9 @@
 package org.honeyjunction.app.local
 
+import org.honeyjunction.app.ExitStatus
 import org.honeyjunction.app.JobApi
 import org.honeyjunction.app.OperatorClient
 import org.honeyjunction.app.RulesApi
-import org.honeyjunction.app.Status
 import org.honeyjunction.fake.FakeUsers
 import org.honeyjunction.wire.ExplainCodec
 import org.honeyjunction.wire.Json
@@ -45,7 +45,7 @@
                 "${jobs.count { it.stage == FakeUsers.Stage.REFUSED }} refused, ${left.size} without a final answer; " +
                 "${cluster.loopback.watch.started} starts, ${broken.size} rules broken",
         )
-        return if (left.isEmpty() && broken.isEmpty() && compared.differences.isEmpty()) Status.OK else Status.FAILED
+        return if (left.isEmpty() && broken.isEmpty() && compared.differences.isEmpty()) ExitStatus.OK else ExitStatus.FAILED
     }
 
     private fun explain(cluster: LocalCluster, id: String) {
--- a/src/main/kotlin/org/honeyjunction/app/local/SearchRun.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/SearchRun.kt
@@ -1,6 +1,6 @@
 package org.honeyjunction.app.local
 
-import org.honeyjunction.app.Status
+import org.honeyjunction.app.ExitStatus
 import org.honeyjunction.fake.Fault
 import java.util.concurrent.Callable
 import java.util.concurrent.ExecutorService
@@ -51,7 +51,7 @@
             ticker.end()
             println("$days days from seed $seed with $controllers controllers: no rule broken; $totals")
             if (faults.isEmpty()) printOverlaps()
-            return Status.OK
+            return ExitStatus.OK
         } finally {
             threads.shutdownNow()
         }
@@ -77,7 +77,7 @@
         println("of ${scenario.faults.size} troubles ${smallest.faults.size} are needed; to replay:")
         val replay = "  honeyjunction local --virtual --controllers $controllers --search 1 --seed ${scenario.seed}"
         println(replay + smallest.faults.joinToString("") { " --fault '$it'" })
-        return Status.FAILED
+        return ExitStatus.FAILED
     }
 
     private companion object {
--- a/src/main/kotlin/org/honeyjunction/app/local/VirtualScenario.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/VirtualScenario.kt
@@ -1,6 +1,6 @@
 package org.honeyjunction.app.local
 
-import org.honeyjunction.app.Status
+import org.honeyjunction.app.ExitStatus
 import org.honeyjunction.core.model.JobKind
 import org.honeyjunction.fake.Fault
 import org.honeyjunction.fake.PlannedJob
@@ -18,7 +18,7 @@
         ticker.end()
         print(scenario)
         val passed = scenario.cluster.broken.isEmpty() && scenario.unfinished().isEmpty()
-        return if (passed) Status.OK else Status.FAILED
+        return if (passed) ExitStatus.OK else ExitStatus.FAILED
     }
 
     private fun print(scenario: Scenario) {
--- a/src/main/kotlin/org/honeyjunction/app/nomad/JobCommand.kt
+++ b/src/main/kotlin/org/honeyjunction/app/nomad/JobCommand.kt
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.databind.JsonNode
 import com.fasterxml.jackson.databind.node.ObjectNode
+import org.honeyjunction.app.ExitStatus
 import org.honeyjunction.app.OperatorClient
 import org.honeyjunction.app.OperatorSettings
-import org.honeyjunction.app.Status
-import org.honeyjunction.app.complain
 import org.honeyjunction.app.local.Outcome
+import org.honeyjunction.app.printError
 import org.honeyjunction.app.reporting
 import org.honeyjunction.nomad.Fate
 import org.honeyjunction.nomad.Fields
@@ -81,7 +81,7 @@
 
         fun refused(r: Response): Int {
             String(r.body).lines().filter { it.isNotBlank() }.forEach { System.err.println("honeyjunction: $it") }
-            return Status.FAILED
+            return ExitStatus.FAILED
         }
     }
 }
@@ -134,7 +134,7 @@
                 o.good(f)
                 if (good) println("${f.file}: job \"${f.meant.job!!.id}\" is good; ${f.meant.warnings.size} warnings")
             }
-            if (good) Status.OK else Status.FAILED
+            if (good) ExitStatus.OK else ExitStatus.FAILED
         }
 
     @Command(
@@ -152,12 +152,12 @@
     ): Int =
         reporting {
             val f = o.read()
-            if (!o.good(f)) return Status.FAILED
+            if (!o.good(f)) return ExitStatus.FAILED
             val job = f.meant.job!!
             if (job.template) println("starts jobs of its own: ${startedBy(job)}")
             println(Outcome.table(listOf(PLAN_COLUMNS) + job.groups.map { planRow(job, it) }))
             f.rules(job).takeIf { it.isNotEmpty() }?.let { print("\n$it") }
-            if (at == null) Status.OK else printChanges(f, job, at)
+            if (at == null) ExitStatus.OK else printChanges(f, job, at)
         }
 
     private fun startedBy(job: NomadJob): String {
@@ -191,7 +191,7 @@
         val plan = Json.readObject(response.body)
         println("\n${plan.path("Diff").path("Type").asText()} at modify index ${plan.path("JobModifyIndex").asLong()}")
         plan.path("Annotations").path("DesiredTGUpdates").properties().forEach { (group, counts) -> println("$group: ${nonZero(counts)}") }
-        return Status.OK
+        return ExitStatus.OK
     }
 
     /** The counts that are above zero, such as `running 3, queued 1`; `nothing` where there are none. */
@@ -217,7 +217,7 @@
     ): Int =
         reporting {
             val f = o.read()
-            if (!o.good(f)) return Status.FAILED
+            if (!o.good(f)) return ExitStatus.FAILED
             val job = f.meant.job!!
             server.namespace = job.namespace
             val body = Json.obj().apply { set<JsonNode>("Job", f.document.json) }
@@ -226,7 +226,7 @@
             if (r.status != 200) return ServerOptions.refused(r)
             val answer = Json.readObject(r.body)
             println("${job.id}: modify index ${answer.path("JobModifyIndex").asLong()}, evaluation ${answer.path("EvalID").asText()}")
-            if (waitS == null) Status.OK else await(server, job.id, waitS)
+            if (waitS == null) ExitStatus.OK else await(server, job.id, waitS)
         }
 
     private fun await(server: ServerOptions, id: String, waitS: Int): Int {
@@ -237,13 +237,13 @@
             val o = Json.readObject(r.body)
             val batch = o.path("Type").asText() == "batch" && !o.has("Periodic") && !o.has("ParameterizedJob")
             val state = o.path("StatusDescription").asText()
-            if (state == "failed") return complain("$id: version ${o.path("Version").asLong()} failed", Status.FAILED)
+            if (state == "failed") return printError("$id: version ${o.path("Version").asLong()} failed", ExitStatus.FAILED)
             if (if (batch) o.path("Status").asText() == "dead" else state == "live") {
-                return Status.OK.also {
+                return ExitStatus.OK.also {
                     println("$id: version ${o.path("Version").asLong()} is ${if (batch) "done" else "live"}")
                 }
             }
-            if (System.nanoTime() > until) return complain("$id: still $state after $waitS s", Status.FAILED)
+            if (System.nanoTime() > until) return printError("$id: still $state after $waitS s", ExitStatus.FAILED)
             Thread.sleep(POLL_MS)
         }
     }
@@ -271,7 +271,7 @@
                 )
             }
         println(Outcome.table(listOf(listOf("job", "type", "status", "version", "index")) + rows))
-        return Status.OK
+        return ExitStatus.OK
     }
 
     private fun printJob(server: ServerOptions, id: String): Int {
@@ -286,7 +286,7 @@
         if (allocations.status != 200) return ServerOptions.refused(allocations)
         val rows = Json.read(allocations.body).map { allocation -> ALLOCATION_FIELDS.map { allocation.path(it).asText() } }
         if (rows.isNotEmpty()) println(Outcome.table(listOf(ALLOCATION_COLUMNS) + rows))
-        return Status.OK
+        return ExitStatus.OK
     }
 
     private fun jobLine(job: ObjectNode): String {
@@ -309,7 +309,7 @@
             val r = server.ask("DELETE", "/v1/job/${ServerOptions.code(id)}?purge=$purge")
             if (r.status != 200) return ServerOptions.refused(r)
             println("$id: stopped at modify index ${Json.readObject(r.body).path("JobModifyIndex").asLong()}")
-            Status.OK
+            ExitStatus.OK
         }
 
     @Command(
@@ -327,9 +327,9 @@
         ) to: String,
     ): Int =
         reporting {
-            if (to !in FORMS) return complain("--to is one of ${FORMS.joinToString()}", Status.USAGE)
+            if (to !in FORMS) return printError("--to is one of ${FORMS.joinToString()}", ExitStatus.USAGE)
             val f = o.read()
-            if (!o.good(f)) return Status.FAILED
+            if (!o.good(f)) return ExitStatus.FAILED
             val job = f.meant.job!!
             when (to) {
                 "json" -> println(Json.obj().set<ObjectNode>("Job", f.document.json).toPrettyString())
@@ -337,7 +337,7 @@
                 "local" -> println(JobFiles.loopback(f.native(job)).toPrettyString())
                 else -> print(f.rules(job))
             }
-            Status.OK
+            ExitStatus.OK
         }
 
     @Command(
@@ -347,13 +347,13 @@
     )
     fun fields(): Int {
         print(table())
-        return Status.OK
+        return ExitStatus.OK
     }
 
     @Command(name = "schema", mixinStandardHelpOptions = true, description = ["Prints the schema of what meta may tell."])
     fun schema(): Int {
         println(Meaning.schemaText())
-        return Status.OK
+        return ExitStatus.OK
     }
 
     companion object {
