--- a/src/main/kotlin/org/honeyjunction/app/AdmissionService.kt
+++ b/src/main/kotlin/org/honeyjunction/app/AdmissionService.kt
@@ -11,7 +11,7 @@
 import org.honeyjunction.io.WritePriority
 import org.honeyjunction.wire.JobHead
 
-/** Admission control at this node and, while it leads, the quota plans of all nodes. Rates are jobs a second. */
+/** Admission control of this node's submissions and, while this node leads, the quota plans of all nodes. Rates are in jobs a second. */
 class AdmissionService(private val node: Node) {
     private val cluster get() = node.settings.cluster
     private val nodeCount = node.settings.stateLimits.nodes
@@ -25,31 +25,34 @@
     /** Null while another node leads. */
     private var allocator: QuotaAllocator? = null
 
-    /** This node leads [term] from now on. */
+    /** Starts to allocate quota plans for [term], which this node leads from now on. */
     fun startTerm(term: Long) {
         allocator = QuotaAllocator(teamWeights, nodeCount, term, node.clock.steady())
     }
 
-    /** This node leads no more. */
+    /** Stops allocating quota plans, since this node does not lead any more. */
     fun endTerm() {
         allocator = null
     }
 
-    /** The demand of this node's users, to be reported to the leader. */
+    /** The demand of this node's users, which is reported to the leader. */
     val demand: List<Demand> get() = controller.demandMeter.demand(node.clock.steady())
 
-    /** The epoch of this node's plan, and what it grants. */
+    /** The epoch of this node's latest plan, valid or expired. */
     val epoch: PlanEpoch get() = controller.epoch
+
+    /** The total rate that this node's valid plan grants; 0 without a valid plan. */
     val grantedPerS: Double get() = controller.grantedPerS(node.clock.steady())
 
-    /** A plan is requested from the leader now; the result goes with its response into [installPlan]. */
+    /** Notes that a plan is requested from the leader now. The result is passed to [installPlan] with the leader's response. */
     fun beginPlanRequest(): Long = controller.beginPlanRequest(node.clock.steady())
 
+    /** Installs [plan] from the response to the request that was sent at [requestedAt]. */
     fun installPlan(plan: QuotaPlan, requestedAt: Long) {
         controller.installPlan(plan, requestedAt, node.clock.steady())
     }
 
-    /** At the leader: the plan of the node [peer] by what it reports; null where this node is not certain to lead. */
+    /** At the leader: the plan of the node [peer], computed from the demand that it reports; null if this node is not certain to lead. */
     fun planFor(peer: String, demand: List<Demand>, epoch: PlanEpoch, grantedPerS: Double): QuotaPlan? {
         val allocator = allocator ?: return null
         val leader = node.certainLeader?.leader ?: return null
@@ -58,25 +61,25 @@
         return allocator.allocate(peer, capacityPerS(), leader.teamsOverTaskShare(teamWeights), now)
     }
 
-    /** At the leader: its own plan, by the same rules as any node's. */
+    /** At the leader: computes and installs the leader's own plan by the same rules as the plans of other nodes. */
     fun refreshOwnPlan() {
         val requestedAt = beginPlanRequest()
         planFor(node.settings.node, demand, epoch, grantedPerS)?.let { installPlan(it, requestedAt) }
     }
 
-    /** At the leader: users submit more jobs than can be recorded. */
+    /** At the leader: whether users submit more jobs than can be recorded. */
     val demandExceedsCapacity: Boolean get() = allocator?.demandExceeds(capacityPerS(), node.clock.steady()) == true
 
     /**
-     * How many jobs all nodes together can record: what the changes a second leave beside journal pages and terminal records.
-     * More admitted jobs mean more terminal records a little later, so this settles by itself.
+     * The rate at which all nodes together can record jobs: the writes that the state service allows, less the writes of journal
+     * pages and terminal records. Admitting more jobs causes more terminal records shortly afterwards, so the rate converges by itself.
      */
     private fun capacityPerS(): Double {
         val totalPerS = node.settings.stateLimits.writesPerS * USABLE_SHARE
         return maxOf(totalPerS * MIN_NEW_JOBS_SHARE, totalPerS - node.state.schedulingWritesPerS)
     }
 
-    /** What this node could record by itself. */
+    /** The rate at which this node can record jobs with its own share of the writes. */
     private fun ownCapacityPerS(): Double {
         val state = node.state
         if (!node.isLeader) return state.writeRatePerS
@@ -84,11 +87,11 @@
     }
 
     /**
-     * Whether a submission with this [head] is admitted. One without a readable head or of an unknown team is left to
-     * validation, which rejects it: it must neither count as demand nor get a token bucket.
+     * Decides whether a submission with this [head] is admitted. A submission without a readable head, of an unknown team or with
+     * an overlong class name is admitted here, so that it neither counts as demand nor gets a token bucket; validation rejects it.
      */
     fun decide(head: JobHead?): Decision {
-        if (head == null || cluster.teams.none { it.name == head.team } || head.jobClass.length > MAX_CLASS_NAME) {
+        if (head == null || cluster.teams.none { it.name == head.team } || head.jobClass.length > MAX_CLASS_NAME_LENGTH) {
             return Decision.Admitted(withinQuota = true)
         }
         return controller.decide(
@@ -107,16 +110,17 @@
             ownCapacityPerS(),
         )
 
+    /** Counts of admitted and rejected jobs, for the statistics in the log. */
     fun statistics() = controller.statistics()
 
     private companion object {
-        /** A longer name of a class is left to validation. */
-        const val MAX_CLASS_NAME = 200
+        /** Longer class names are rejected by validation. */
+        const val MAX_CLASS_NAME_LENGTH = 200
 
-        /** The rest is for changes that count twice: writes that fail, and terms that overlap. */
+        /** The share of all writes that is planned with; the rest covers failed writes and the writes of overlapping terms. */
         const val USABLE_SHARE = 0.9
 
-        /** The share of the changes that new jobs may always use, whatever else is queued. */
+        /** The share of the writes that new jobs may always use, even if other writes are queued. */
         const val MIN_NEW_JOBS_SHARE = 0.1
     }
 }
--- a/src/main/kotlin/org/honeyjunction/app/Candidacy.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Candidacy.kt
@@ -3,40 +3,44 @@
 import org.honeyjunction.io.Clock
 
 /**
- * Whether this node may campaign for the next term. A node whose terms fail backs off exponentially, and one that no worker
- * reached while it led lets the others go first. Used on the event loop only; times are steady milliseconds.
+ * Decides whether this node may campaign for the next term. A node whose terms fail backs off exponentially. A node that resigned
+ * because no worker reached it waits, so that other nodes campaign first. Used on the event loop only; times are steady milliseconds.
  */
 internal class Candidacy(private val clock: Clock) {
-    private var vacantSince = Long.MIN_VALUE
+    /** When [mayCampaign] first saw no leader while workers did not reach this node; [Long.MIN_VALUE] while there is a leader. */
+    private var leaderlessSince = Long.MIN_VALUE
 
-    /** Consecutive terms of this node that ended by a failure of its own. */
+    /** The number of consecutive terms of this node that ended by a failure of this node. */
     private var failedTerms = 0
     private var backOffUntil = Long.MIN_VALUE
 
-    /** Resigned since no worker reached this node, and has received no heartbeat since. */
+    /** Whether this node resigned because no worker reached it, and has received no heartbeat since. */
     private var unreachableByWorkers = false
 
+    /** Whether this node may acquire the next term now. */
     fun mayCampaign(): Boolean {
         if (clock.steady() < backOffUntil) return false
         if (!unreachableByWorkers) return true
-        if (vacantSince == Long.MIN_VALUE) vacantSince = clock.steady()
-        return clock.steady() - vacantSince > BACK_OFF_MS
+        if (leaderlessSince == Long.MIN_VALUE) leaderlessSince = clock.steady()
+        return clock.steady() - leaderlessSince > BACK_OFF_MS
     }
 
-    /** Some node leads: the time without a leader is counted anew. */
+    /** Resets the time without a leader, since some node leads. */
     fun leaderObserved() {
-        vacantSince = Long.MIN_VALUE
+        leaderlessSince = Long.MIN_VALUE
     }
 
+    /** Notes that a worker reached this node. */
     fun heartbeatReceived() {
         unreachableByWorkers = false
     }
 
+    /** Notes that this node resigned because no worker reached it. */
     fun resignedAsUnreachableByWorkers() {
         unreachableByWorkers = true
     }
 
-    /** A term that began at [termStartedAt] failed: the back-off doubles, unless that term had lasted for long. */
+    /** Starts a back-off after the failure of a term that began at [termStartedAt]; doubles the previous one unless the term was long. */
     fun backOff(termStartedAt: Long) {
         failedTerms = if (clock.steady() - termStartedAt > STABLE_TERM_MS) 1 else failedTerms + 1
         val doublings = minOf(failedTerms - 1, MAX_DOUBLINGS)
--- a/src/main/kotlin/org/honeyjunction/app/ChunkedTextStore.kt
+++ b/src/main/kotlin/org/honeyjunction/app/ChunkedTextStore.kt
@@ -10,40 +10,40 @@
 import org.honeyjunction.wire.Write
 
 /**
- * Stores texts that are larger than a value of the state service, in chunks under keys of their own. Chunks take effect only
- * by a later write that refers to them and has their versions as its conditions.
+ * Stores texts that exceed the size of a value in the state service as chunks under separate keys. Chunks take effect only
+ * through a later write that refers to them and is conditional on their versions.
  */
 class ChunkedTextStore(private val state: KeyValueClient, limits: StateLimits) {
-    private val chunkBytes = limits.valueBytes - CHUNK_OVERHEAD
+    private val chunkBytes = limits.valueBytes - CHUNK_OVERHEAD_BYTES
 
-    /** Every chunk is a condition of the write that refers to it, beside that write's own key and its fencing condition. */
+    /** Every chunk takes one condition of the write that refers to it; the write's own key and fencing need the reserved ones. */
     private val maxChunks = minOf(limits.transactionWrites * CONDITIONS_PER_WRITE - RESERVED_CONDITIONS, MAX_CHUNKS)
 
-    /** The largest text in bytes. */
+    /** The size of the largest text that can be stored, in bytes of JSON. */
     val maxBytes get() = maxChunks * chunkBytes
 
-    /** The chunks of [text]; null where there would be too many. */
+    /** Splits [text] into chunks; returns null if there are more than a write can refer to. */
     fun split(text: String): List<String>? = chunks(text).takeIf { it.size <= maxChunks }
 
     /**
-     * Writes the chunks that are not stored yet. Returns the conditions for the write that is to refer to them, or null if the
-     * outcome of a write is unknown.
+     * Writes the chunks that are not stored yet. Returns the conditions for the write that will refer to the chunks, or null if
+     * it is not known whether all chunks are stored.
      */
     suspend fun writeMissing(chunks: List<String>, key: (Int) -> String): List<Condition>? =
         chunks.mapIndexed { i, chunk -> Condition(key(i), ensureStored(key(i), chunk) ?: return null) }
 
-    /** The version of [chunk] as it is stored under [key]; null if that is unknown. */
+    /** Writes [chunk] under [key] unless it is stored there. Returns the version of the entry, or null if it is not certain that [chunk] is stored. */
     private suspend fun ensureStored(key: String, chunk: String): Long? {
-        val present = state.get(key)
-        if (present.value?.textValue() == chunk) return present.version
-        return when (val written = state.commit(listOf(Condition(key, present.version)), listOf(Write(key, Json.text(chunk))))) {
-            is CompareAndSwapOutcome.Applied -> written.revision
+        val existing = state.get(key)
+        if (existing.value?.textValue() == chunk) return existing.version
+        return when (val outcome = state.commit(listOf(Condition(key, existing.version)), listOf(Write(key, Json.text(chunk))))) {
+            is CompareAndSwapOutcome.Applied -> outcome.revision
             CompareAndSwapOutcome.Conflict -> state.get(key).takeIf { it.value?.textValue() == chunk }?.version
             CompareAndSwapOutcome.Unknown -> null
         }
     }
 
-    /** The bytes of the text of [count] chunks; [description] names it in the error when a chunk is missing. */
+    /** Joins [count] chunks to the bytes of the text; [description] names the text in the error if a chunk is missing. */
     suspend fun read(count: Int, description: String, key: (Int) -> String): ByteArray {
         val bytes = Buffer()
         for (i in 0 until count) {
@@ -53,7 +53,7 @@
         return bytes.readByteArray()
     }
 
-    /** Cuts by the size of the JSON, not of the text: escapes can make it six times as long. */
+    /** Splits by the size of the chunk's JSON rather than of the text, since escapes can make the JSON six times as long. */
     private fun chunks(text: String): List<String> {
         val chunks = ArrayList<String>()
         var from = 0
@@ -65,12 +65,13 @@
         return chunks
     }
 
+    /** The end of the longest chunk that starts at [from] and fits into [chunkBytes]. */
     private fun chunkEnd(text: String, from: Int): Int {
         var to = from
         var size = 0
         while (to < text.length) {
             val next = to + Character.charCount(text.codePointAt(to))
-            size += Json.write(Json.text(text.substring(to, minOf(text.length, next)))).size - QUOTES
+            size += Json.write(Json.text(text.substring(to, minOf(text.length, next)))).size - QUOTE_BYTES
             if (size > chunkBytes) break
             to = next
         }
@@ -78,14 +79,15 @@
     }
 
     private companion object {
-        const val CHUNK_OVERHEAD = 64
+        /** The part of a stored value that is left free. */
+        const val CHUNK_OVERHEAD_BYTES = 64
         const val MAX_CHUNKS = 64
 
-        /** The state service takes so many conditions for each write that a transaction may hold. */
+        /** The number of conditions that the state service accepts for each write that a transaction may hold. */
         const val CONDITIONS_PER_WRITE = 4
         const val RESERVED_CONDITIONS = 4
 
-        /** The quotes around a JSON text. */
-        const val QUOTES = 2
+        /** The size of the quotes around a JSON string. */
+        const val QUOTE_BYTES = 2
     }
 }
--- a/src/main/kotlin/org/honeyjunction/app/CloudClient.kt
+++ b/src/main/kotlin/org/honeyjunction/app/CloudClient.kt
@@ -13,23 +13,26 @@
 import java.io.IOException
 
 /**
- * The client of the cloud that machines are rented from. Keeps to its rate limit of [requestsPerS]. All calls throw
- * [IOException] where the cloud refuses or does not answer; whether it carried out the request is unknown then.
+ * The client of the cloud service that rents out machines. Stays below the cloud's rate limit of [requestsPerS]. All calls throw
+ * [IOException] if the cloud rejects a request or does not respond; the cloud may have executed the request all the same.
  */
 class CloudClient(loop: EventLoop, address: String, requestsPerS: Double, clock: Clock) {
+    /** The cloud's response to a request to rent machines. */
     sealed interface ScaleOutResult {
+        /** The cloud rented out the machines of these names. */
         class Started(val machines: List<String>) : ScaleOutResult
 
-        /** The cloud has no such machine at present, or refuses the request. */
+        /** The cloud has no machine of the requested type at present, or rejects the request. */
         data object NoCapacity : ScaleOutResult
     }
 
     private val http = HttpClient(Connections(loop, most = 3), address)
     private val budget = Budget(requestsPerS * BUDGET_SHARE, requestsPerS * 2 * BUDGET_SHARE, clock)
 
+    /** The machine types that the cloud offers, as JSON. */
     suspend fun machineTypes(): ByteArray = requireOk(send("GET", "/machine_types")).body
 
-    /** Rents machines; [mayStillAct] is asked at the last moment before the request is sent. */
+    /** Rents machines. The request is sent only if [mayStillAct] returns true immediately before. */
     suspend fun scaleOut(request: Effect.ScaleOut, mayStillAct: () -> Boolean): ScaleOutResult {
         val response = send("POST", "/rentals", CloudCodec.scaleOut(request), urgent = true, mayStillAct)
         return when {
@@ -40,12 +43,12 @@
         }
     }
 
-    /** Returns machines; [mayStillAct] as with [scaleOut]. */
+    /** Ends the rental of machines; [mayStillAct] has the same meaning as for [scaleOut]. */
     suspend fun scaleIn(machines: List<String>, mayStillAct: () -> Boolean) {
         requireOk(send("POST", "/rentals/release", CloudCodec.names(machines), urgent = true, mayStillAct))
     }
 
-    /** One page of the rented machines, ordered by name, [after] the named one or from the first. */
+    /** Lists one page of the rented machines, ordered by name. The page starts after the machine [after], or with the first one. */
     suspend fun listMachines(after: String?): CloudCodec.Page {
         val since = after?.let { "Since=$it&" }.orEmpty()
         return parse { CloudCodec.page(requireOk(send("GET", "/rentals?${since}Most=500")).body) }
@@ -72,7 +75,7 @@
         }
 
     private companion object {
-        /** The share of the cloud's rate limit that a node uses: the rest is for a term that overlaps with the next. */
+        /** The share of the cloud's rate limit that a node uses; the rest is for the requests of an overlapping term. */
         const val BUDGET_SHARE = 0.85
         const val TIMEOUT_MS = 4_000L
     }
--- a/src/main/kotlin/org/honeyjunction/app/CoalescedQueries.kt
+++ b/src/main/kotlin/org/honeyjunction/app/CoalescedQueries.kt
@@ -12,18 +12,19 @@
 
 /** The outcome of a coalesced query. */
 sealed interface QueryOutcome<out A> {
+    /** The query has this [answer]. */
     class Answered<A>(val answer: A) : QueryOutcome<A>
 
-    /** Rejected, since too many queries are queued: to be retried later. */
+    /** Rejected because too many queries are queued; the caller may retry later. */
     data object Rejected : QueryOutcome<Nothing>
 
-    /** The query failed, or its response has nothing for this key. */
+    /** The query failed, or the response has no answer for this key. */
     data object NoResponse : QueryOutcome<Nothing>
 }
 
 /**
- * Sends queries in the batches that a [RequestCoalescer] decides on. [sendBatch] gets the keys of a batch and returns the
- * answers by key, or null without a response. Runs on the event loop of [scope] alone.
+ * Sends queries in batches, whose size and time a [RequestCoalescer] decides. [sendBatch] takes the keys of a batch and returns
+ * the answers by key, or null if there is no response. Runs on the event loop of [scope] alone.
  */
 class CoalescedQueries<A>(
     private val scope: CoroutineScope,
@@ -33,7 +34,7 @@
 ) {
     private var draining = false
 
-    /** Queries [key] together with others; suspends until the outcome is known. */
+    /** Queries [key] in a batch with other keys; suspends until the outcome is known. */
     suspend fun query(key: String): QueryOutcome<A> {
         val waiter = CompletableDeferred<QueryOutcome<A>>()
         if (!coalescer.enqueue(key, waiter, clock.steady())) return QueryOutcome.Rejected
@@ -41,13 +42,13 @@
         return waiter.await()
     }
 
-    /** The wait of a new query as a fraction of the longest allowed one. */
+    /** The expected wait of a new query as a fraction of the longest allowed wait. */
     fun pressure() = coalescer.pressure(clock.steady())
 
     /** The number of queries rejected since the last call. */
     fun takeRejectedCount() = coalescer.takeRejectedCount()
 
-    /** Sends what is due at once and, in the background, the rest as it falls due. */
+    /** Sends the batch that is due now and, in the background, the other batches when they fall due. */
     private fun sendAllWhenDue() {
         if (draining) return
         sendDueBatch()
@@ -73,7 +74,7 @@
             } catch (e: IOException) {
                 log.debug("{} queries: {}", batch.size, e.message)
             } finally {
-                // Also after any other exception: a waiter must not be left suspended.
+                // Runs after any other exception too, because a waiter must not be left suspended.
                 batch.forEach { (key, waiters) -> complete(waiters, answers?.get(key)) }
             }
         }
