--- a/src/main/kotlin/org/honeyjunction/app/ChunkedTextStore.kt
+++ b/src/main/kotlin/org/honeyjunction/app/ChunkedTextStore.kt
@@ -32,7 +32,7 @@
     suspend fun writeMissing(chunks: List<String>, key: (Int) -> String): List<Condition>? =
         chunks.mapIndexed { i, chunk -> Condition(key(i), ensureStored(key(i), chunk) ?: return null) }
 
-    /** Writes [chunk] under [key] unless it is stored there. Returns the version of the entry, or null if it is not certain that [chunk] is stored. */
+    /** Stores [chunk] under [key] if it is not there. Returns the entry's version, or null if it is not certain that [chunk] is stored. */
     private suspend fun ensureStored(key: String, chunk: String): Long? {
         val existing = state.get(key)
         if (existing.value?.textValue() == chunk) return existing.version
--- a/src/main/kotlin/org/honeyjunction/app/Election.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Election.kt
@@ -12,11 +12,11 @@
 import java.io.IOException
 
 /**
- * A term that this node won. [leadVersion] is the version of [Keys.LEADER_RECORD] on which all writes of the term are conditional, so that
- * they fail once another term has begun; [lease] is the state service's number of the lease, and [validUntil] the end of the
- * lease as this node counts it, in steady milliseconds.
+ * A term that this node won. All writes of the term are conditional on [leaderRecordVersion], the version of
+ * [Keys.LEADER_RECORD], so that they fail once another term has begun. [leaseId] is the state service's id of the leader lease,
+ * and [validUntil] the time until which this node may rely on the lease, in steady milliseconds.
  */
-class Term(val number: Long, val leadVersion: Long, val lease: Long, val validUntil: Long)
+class Term(val number: Long, val leaderRecordVersion: Long, val leaseId: Long, val validUntil: Long)
 
 /**
  * Leader election: acquires the term by a compare-and-swap under a lease of the state service, and renews the lease. Functions
@@ -64,9 +64,9 @@
      * was carried out: while the lease holds nobody else can have won a term. Otherwise it is an earlier attempt, or this node
      * before its restart: nobody acts for it any more, and its lease is ended.
      */
-    private suspend fun reclaim(lease: Long?, leadVersion: Long): Term? {
+    private suspend fun reclaim(lease: Long?, leaderRecordVersion: Long): Term? {
         val last = attempt
-        if (last != null && last.lease == lease && clock.steady() < validUntil(last.sentAt)) return won(last, leadVersion)
+        if (last != null && last.lease == lease && clock.steady() < validUntil(last.sentAt)) return won(last, leaderRecordVersion)
         if (lease != null) state.endLease(lease)
         leader = null
         return null
@@ -94,12 +94,12 @@
         return won(current, version)
     }
 
-    private fun won(won: Attempt, leadVersion: Long): Term {
+    private fun won(won: Attempt, leaderRecordVersion: Long): Term {
         attempt = null
         leader = node
         term = won.number
         log.info("leader-elected: term {}", won.number)
-        return Term(won.number, leadVersion, won.lease, validUntil(won.sentAt))
+        return Term(won.number, leaderRecordVersion, won.lease, validUntil(won.sentAt))
     }
 
     /** Renews the lease of [term] until [isLeading] is false or the lease has ended; [renewed] gets the new end, in steady milliseconds. */
@@ -107,7 +107,7 @@
         while (isLeading()) {
             val sentAt = clock.steady()
             try {
-                if (!state.extendLease(term.lease)) {
+                if (!state.extendLease(term.leaseId)) {
                     log.warn("leader-lease-expired: term {}", term.number)
                     return
                 }
@@ -125,7 +125,7 @@
     suspend fun resign(term: Term) {
         leader = null
         try {
-            state.endLease(term.lease)
+            state.endLease(term.leaseId)
         } catch (e: IOException) {
             log.debug("resigning: {}", e.message)
         }
--- a/src/main/kotlin/org/honeyjunction/app/leader/CommitExecutor.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/CommitExecutor.kt
@@ -66,7 +66,7 @@
     private suspend fun explainRefusal(changes: List<Change>): CommitOutcome =
         try {
             when {
-                state.get(Keys.LEADER_RECORD).version != context.term.leadVersion -> termLost("the term was taken")
+                state.get(Keys.LEADER_RECORD).version != context.term.leaderRecordVersion -> termLost("the term was taken")
                 changes.any { it is Change.JournalPage } -> checkNotNull(journalPageOutcome(changes))
                 // In doubt until its record is read.
                 changes.any { it is Change.JobFinished } -> CommitOutcome.Failed()
--- a/src/main/kotlin/org/honeyjunction/app/leader/TermContext.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/TermContext.kt
@@ -21,7 +21,7 @@
     val onTermLost: (String) -> Unit,
 ) {
     /** The fencing token of all writes of this term: no write is applied once a later leader has won. */
-    val fence = Condition(Keys.LEADER_RECORD, term.leadVersion)
+    val fence = Condition(Keys.LEADER_RECORD, term.leaderRecordVersion)
 
     /**
      * To be asked again at the last moment before a request is sent: this process may have been suspended since the decision.
--- a/src/main/kotlin/org/honeyjunction/app/nomad/NomadLeader.kt
+++ b/src/main/kotlin/org/honeyjunction/app/nomad/NomadLeader.kt
@@ -42,7 +42,7 @@
     private var rulesAt = -1L
     private val watched = HashMap<String, Watched>()
     private val state get() = node.state
-    private val fence get() = Condition(Keys.LEADER_RECORD, driver.term.leadVersion)
+    private val fence get() = Condition(Keys.LEADER_RECORD, driver.term.leaderRecordVersion)
     private val names = (node.settings.peers.map { it.name } + node.settings.node).sorted()
 
     suspend fun run() {
