--- a/src/main/kotlin/org/honeyjunction/app/ChunkedTextStore.kt
+++ b/src/main/kotlin/org/honeyjunction/app/ChunkedTextStore.kt
@@ -13,7 +13,7 @@
  * Stores texts that exceed the size of a value in the state service as chunks under separate keys. Chunks take effect only
  * through a later write that refers to them and is conditional on their versions.
  */
-class ChunkedTextStore(private val state: KeyValueClient, limits: StateLimits) {
+class ChunkedTextStore(private val store: KeyValueClient, limits: StateLimits) {
     private val chunkBytes = limits.valueBytes - CHUNK_OVERHEAD_BYTES
 
     /** Every chunk takes one condition of the write that refers to it; the write's own key and fencing need the reserved ones. */
@@ -34,11 +34,11 @@
 
     /** Stores [chunk] under [key] if it is not there. Returns the entry's version, or null if it is not certain that [chunk] is stored. */
     private suspend fun ensureStored(key: String, chunk: String): Long? {
-        val existing = state.get(key)
+        val existing = store.get(key)
         if (existing.value?.textValue() == chunk) return existing.version
-        return when (val outcome = state.commit(listOf(Condition(key, existing.version)), listOf(Write(key, Json.text(chunk))))) {
+        return when (val outcome = store.commit(listOf(Condition(key, existing.version)), listOf(Write(key, Json.text(chunk))))) {
             is CompareAndSwapOutcome.Applied -> outcome.revision
-            CompareAndSwapOutcome.Conflict -> state.get(key).takeIf { it.value?.textValue() == chunk }?.version
+            CompareAndSwapOutcome.Conflict -> store.get(key).takeIf { it.value?.textValue() == chunk }?.version
             CompareAndSwapOutcome.Unknown -> null
         }
     }
@@ -47,7 +47,7 @@
     suspend fun read(count: Int, description: String, key: (Int) -> String): ByteArray {
         val bytes = Buffer()
         for (i in 0 until count) {
-            val chunk = state.get(key(i)).value ?: throw StateUnavailableException("part $i of $description is not there")
+            val chunk = store.get(key(i)).value ?: throw StateUnavailableException("part $i of $description is not there")
             bytes.writeUtf8(chunk.textValue().orEmpty())
         }
         return bytes.readByteArray()
--- a/src/main/kotlin/org/honeyjunction/app/Election.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Election.kt
@@ -20,12 +20,12 @@
 
 /**
  * Leader election: acquires the term by a compare-and-swap under a lease of the state service, and renews the lease. Functions
- * that reach the state service throw [IOException] where it does not answer. Used on the event loop only.
+ * that call the state service throw [IOException] if it does not respond. Used on the event loop only.
  */
-class Election(private val node: String, private val state: KeyValueClient, private val clock: Clock, private val leaseMs: Long) {
+class Election(private val nodeName: String, private val store: KeyValueClient, private val clock: Clock, private val leaseMs: Long) {
     private val log = LoggerFactory.getLogger(Election::class.java)
 
-    /** The leader as far as this node knows; null where none is known. */
+    /** The name of the leader as far as this node knows; null if none is known. */
     var leader: String? = null
         private set
 
@@ -33,116 +33,123 @@
     var term = 0L
         private set
 
-    /** An attempt to acquire the term whose outcome is unknown: it may have been carried out, or be carried out later. */
-    private class Attempt(val number: Long, val lease: Long, val sentAt: Long)
+    /** An attempt to acquire a term whose outcome is unknown: its write may have been applied, or may be applied later. */
+    private class Attempt(val number: Long, val leaseId: Long, val sentAt: Long)
 
-    private var attempt: Attempt? = null
+    private var pendingAttempt: Attempt? = null
 
-    /** When the state service last answered the election, in steady milliseconds. */
+    /** When the state service last responded to the election or to a renewal, in steady milliseconds. */
     var lastResponseAt = clock.steady()
         private set
 
-    /** The lease's own end is counted from when its renewal was sent, less drift and a margin. */
-    private fun validUntil(sentAt: Long) = sentAt + leaseMs - leaseMs / 100 - MARGIN_MS
+    /**
+     * The time until which this node may rely on a lease that was granted or renewed by a request sent at [sentAt]. It is counted
+     * from the request, which precedes the grant, and shortened by 1 % for clock drift and by a margin.
+     */
+    private fun validUntil(sentAt: Long) = sentAt + leaseMs - leaseMs / 100 - VALIDITY_MARGIN_MS
 
-    /** Reads who leads; with [mayAcquire], acquires the term where nobody does. Returns the term if this node won it. */
+    /** Reads the leader record. If no node leads and [mayAcquire], tries to acquire a term. Returns the term if this node won it. */
     suspend fun observeOrAcquire(mayAcquire: Boolean): Term? {
-        val lead = state.get(Keys.LEADER_RECORD)
+        val leaderRecord = store.get(Keys.LEADER_RECORD)
         lastResponseAt = clock.steady()
-        val value = lead.value
+        val value = leaderRecord.value
         if (value == null) {
             leader = null
             return if (mayAcquire) acquire() else null
         }
         leader = value.text(Keys.LEADER_FIELD)
         observeTerm(value.count("term"))
-        return if (leader == node) reclaim(lead.lease, lead.version) else null
+        return if (leader == nodeName) resolveOwnRecord(leaderRecord.lease, leaderRecord.version) else null
     }
 
     /**
-     * This node is stored as the leader, though it leads no term. Under the lease of the last attempt, it is that attempt which
-     * was carried out: while the lease holds nobody else can have won a term. Otherwise it is an earlier attempt, or this node
-     * before its restart: nobody acts for it any more, and its lease is ended.
+     * Handles a leader record that names this node, although this node leads no term. If the record is bound to the lease of the
+     * pending attempt, that attempt was applied and this node leads: no other node can have won a term while the lease is valid.
+     * Otherwise an earlier attempt, or this node before its restart, wrote the record. No process leads that term any more, so
+     * its lease is ended.
      */
-    private suspend fun reclaim(lease: Long?, leaderRecordVersion: Long): Term? {
-        val last = attempt
-        if (last != null && last.lease == lease && clock.steady() < validUntil(last.sentAt)) return won(last, leaderRecordVersion)
-        if (lease != null) state.endLease(lease)
+    private suspend fun resolveOwnRecord(leaseId: Long?, leaderRecordVersion: Long): Term? {
+        val last = pendingAttempt
+        if (last != null && last.leaseId == leaseId && clock.steady() < validUntil(last.sentAt)) return beginTerm(last, leaderRecordVersion)
+        if (leaseId != null) store.endLease(leaseId)
         leader = null
         return null
     }
 
     private suspend fun acquire(): Term? {
-        val last = state.get(Keys.TERM)
-        val next = maxOf(last.value?.count("term") ?: 0, term) + 1
+        val termRecord = store.get(Keys.TERM)
+        val nextTerm = maxOf(termRecord.value?.count("term") ?: 0, term) + 1
         val sentAt = clock.steady()
-        val lease = state.grantLease(leaseMs)
-        val current = Attempt(next, lease, sentAt).also { attempt = it }
+        val leaseId = store.grantLease(leaseMs)
+        val attempt = Attempt(nextTerm, leaseId, sentAt).also { pendingAttempt = it }
         val version =
-            state.commitNow(
-                listOf(Condition(Keys.LEADER_RECORD, 0), Condition(Keys.TERM, last.version)),
+            store.commitNow(
+                listOf(Condition(Keys.LEADER_RECORD, 0), Condition(Keys.TERM, termRecord.version)),
                 listOf(
-                    Write(Keys.LEADER_RECORD, Json.obj().put(Keys.LEADER_FIELD, node).put("term", next), lease),
-                    Write(Keys.TERM, Json.obj().put("term", next)),
+                    Write(Keys.LEADER_RECORD, Json.obj().put(Keys.LEADER_FIELD, nodeName).put("term", nextTerm), leaseId),
+                    Write(Keys.TERM, Json.obj().put("term", nextTerm)),
                 ),
             )
         if (version == null) {
-            attempt = null
-            state.endLease(lease)
+            pendingAttempt = null
+            store.endLease(leaseId)
             return null
         }
-        return won(current, version)
+        return beginTerm(attempt, version)
     }
 
-    private fun won(won: Attempt, leaderRecordVersion: Long): Term {
-        attempt = null
-        leader = node
-        term = won.number
-        log.info("leader-elected: term {}", won.number)
-        return Term(won.number, leaderRecordVersion, won.lease, validUntil(won.sentAt))
+    private fun beginTerm(applied: Attempt, leaderRecordVersion: Long): Term {
+        pendingAttempt = null
+        leader = nodeName
+        term = applied.number
+        log.info("leader-elected: term {}", applied.number)
+        return Term(applied.number, leaderRecordVersion, applied.leaseId, validUntil(applied.sentAt))
     }
 
-    /** Renews the lease of [term] until [isLeading] is false or the lease has ended; [renewed] gets the new end, in steady milliseconds. */
-    suspend fun keepRenewing(term: Term, isLeading: () -> Boolean, renewed: (Long) -> Unit) {
+    /**
+     * Renews the lease of [term] until [isLeading] returns false or the lease has ended. Passes the time until which this node may
+     * rely on the lease to [onRenewed], in steady milliseconds.
+     */
+    suspend fun keepRenewing(term: Term, isLeading: () -> Boolean, onRenewed: (Long) -> Unit) {
         while (isLeading()) {
             val sentAt = clock.steady()
             try {
-                if (!state.extendLease(term.leaseId)) {
+                if (!store.extendLease(term.leaseId)) {
                     log.warn("leader-lease-expired: term {}", term.number)
                     return
                 }
                 lastResponseAt = clock.steady()
-                renewed(validUntil(sentAt))
+                onRenewed(validUntil(sentAt))
                 delay(leaseMs / 4)
             } catch (e: IOException) {
-                log.debug("renewal: {}", e.message)
+                log.debug("renewing the leader lease: {}", e.message)
                 delay(RETRY_MS)
             }
         }
     }
 
-    /** Ends the lease of [term], so that another node can win the next one at once; where this fails the lease expires by itself. */
+    /** Ends the lease of [term], so that another node can win the next term at once. If the request fails, the lease expires by itself. */
     suspend fun resign(term: Term) {
         leader = null
         try {
-            state.endLease(term.leaseId)
+            store.endLease(term.leaseId)
         } catch (e: IOException) {
-            log.debug("resigning: {}", e.message)
+            log.debug("ending the leader lease: {}", e.message)
         }
     }
 
-    /** Another controller knows of [observed], led by [by] ("" where it does not say by whom). */
-    fun observeTerm(observed: Long, by: String) {
-        if (observed > term) leader = by.ifEmpty { null }
-        observeTerm(observed)
+    /** Notes that another controller knows of the term [observedTerm] and its leader ([leaderName] is "" if the controller names none). */
+    fun observeTerm(observedTerm: Long, leaderName: String) {
+        if (observedTerm > term) leader = leaderName.ifEmpty { null }
+        observeTerm(observedTerm)
     }
 
-    private fun observeTerm(observed: Long) {
-        term = maxOf(term, observed)
+    private fun observeTerm(observedTerm: Long) {
+        term = maxOf(term, observedTerm)
     }
 
     private companion object {
-        const val MARGIN_MS = 250L
+        const val VALIDITY_MARGIN_MS = 250L
         const val RETRY_MS = 250L
     }
 }
--- a/src/main/kotlin/org/honeyjunction/app/ExplainCommand.kt
+++ b/src/main/kotlin/org/honeyjunction/app/ExplainCommand.kt
@@ -13,28 +13,30 @@
 @Command(
     name = "explain",
     mixinStandardHelpOptions = true,
-    description = ["Tells why the tasks of a job are where they are, or why they wait."],
+    description = ["Explains why the tasks of a job are placed where they are, or why they are pending."],
     exitCodeListHeading = "Exit status:%n",
-    exitCodeList = ["0:told", "1:there is no such job, or its explanation is gone", "2:wrong arguments", "5:no controller answers"],
+    exitCodeList = ["0:told", "1:there is no such job, or its explanation has expired", "2:wrong arguments", "5:no controller answers"],
 )
 class ExplainCommand : Callable<Int> {
+    /** The id of a job, or of one of its tasks. */
     @Parameters(paramLabel = "JOB[/TASK]", description = ["like j-000412 or j-000412/3"])
     lateinit var jobOrTask: String
 
+    /** The addresses of the controllers to ask. */
     @Option(
         names = ["--at"],
         paramLabel = "ADDRESS",
         defaultValue = "127.0.0.1:8080",
         description = ["controllers, as host:port,... (default: \${DEFAULT-VALUE})"],
     )
-    lateinit var at: String
+    lateinit var addresses: String
 
     override fun call(): Int {
         if (!JOB_OR_TASK.matches(jobOrTask)) {
-            return printError("'$jobOrTask' is not a job or task: like j-000412 or j-000412/3", ExitStatus.USAGE)
+            return printError("'$jobOrTask' is not a job or task id such as j-000412 or j-000412/3", ExitStatus.USAGE)
         }
         return try {
-            val response = OperatorClient.at(at).ask("GET", "${JobApi.JOBS_PATH}/$jobOrTask${RulesApi.EXPLAIN_SUFFIX}")
+            val response = OperatorClient.at(addresses).ask("GET", "${JobApi.JOBS_PATH}/$jobOrTask${RulesApi.EXPLAIN_SUFFIX}")
             if (response.status != 200) return printError(OperatorClient.why(response), ExitStatus.FAILED)
             ExplainCodec.lines(Json.readObject(response.body)).forEach(::println)
             ExitStatus.OK
@@ -43,7 +45,7 @@
         } catch (e: IOException) {
             printError(e.message!!, ExitStatus.NO_ANSWER)
         } catch (e: MalformedException) {
-            printError("the answer can't be read: ${e.message}", ExitStatus.FAILED)
+            printError("malformed response: ${e.message}", ExitStatus.FAILED)
         }
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/Files.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Files.kt
@@ -9,12 +9,12 @@
 import java.nio.file.NoSuchFileException
 import java.nio.file.Path
 
-/** A file that people wrote can't be read; the message names it. */
+/** A file can't be read; the message names the file. */
 class UnreadableFileException(message: String) : IOException(message)
 
-/** Reads the files that people write; every error is one line that names the file. */
+/** Reads files that users and operators write. The message of every error is one line that names the file. */
 object Files {
-    /** Runs [read] on the content of [file]; its errors get the file's name in front. */
+    /** Runs [read], which reads the content of [file], and puts the file's name in front of the message of its errors. */
     inline fun <T> withFileName(file: Path, read: () -> T): T =
         try {
             read()
@@ -27,9 +27,9 @@
         try {
             java.nio.file.Files.readAllBytes(file)
         } catch (_: NoSuchFileException) {
-            throw UnreadableFileException("$file is not there")
+            throw UnreadableFileException("$file does not exist")
         } catch (_: AccessDeniedException) {
-            throw UnreadableFileException("$file may not be read")
+            throw UnreadableFileException("$file can't be read: permission denied")
         } catch (e: IOException) {
             throw UnreadableFileException(
                 if (java.nio.file.Files.isDirectory(file)) "$file is a directory" else "$file can't be read: ${e.message}",
@@ -44,14 +44,14 @@
             throw MalformedException("$file is not UTF-8 text")
         }
 
-    /** Runs [read] on the JSON object in [file], or where it is null on the one in the resource [otherwise]. */
-    fun <T> json(file: Path?, otherwise: String, read: (ObjectNode) -> T): T {
-        if (file == null) return read(Json.readObject(checkNotNull(javaClass.classLoader.getResource(otherwise)).readBytes()))
+    /** Runs [read] on the JSON object in [file], or on the one in the resource [defaultResource] if [file] is null. */
+    fun <T> json(file: Path?, defaultResource: String, read: (ObjectNode) -> T): T {
+        if (file == null) return read(Json.readObject(checkNotNull(javaClass.classLoader.getResource(defaultResource)).readBytes()))
         return withFileName(file) { read(Json.readObject(bytes(file))) }
     }
 }
 
-/** The exit statuses of the program, as README documents them. */
+/** The exit statuses of the program; the README documents them. */
 object ExitStatus {
     const val OK = 0
     const val FAILED = 1
@@ -61,7 +61,7 @@
     const val NO_ANSWER = 5
 }
 
-/** Prints [message] to standard error; returns [status], to exit with. */
+/** Prints [message] to standard error and returns [status], the status to exit with. */
 fun printError(message: String, status: Int): Int {
     System.err.println("honeyjunction: $message")
     return status
--- a/src/main/kotlin/org/honeyjunction/app/FollowerRounds.kt
+++ b/src/main/kotlin/org/honeyjunction/app/FollowerRounds.kt
@@ -8,15 +8,15 @@
 import java.io.IOException
 
 /**
- * The placement rounds of a controller that does not lead: it asks the leader for a summary of its shard, and sends back
- * proposals of where to place this controller's tasks. The leader alone decides.
+ * The placement rounds of a controller that does not lead. In each round the controller requests a summary of its shard from the
+ * leader, and sends back proposals for placing the shard's tasks. The leader alone decides.
  */
 internal class FollowerRounds(private val node: Node) {
     private val log = LoggerFactory.getLogger(Node::class.java)
     private val clock = node.clock
     private val round = PlacementRound(node.tuning.cost)
 
-    /** Runs for as long as the node does, and is idle while it leads or knows no leader. */
+    /** Runs placement rounds while this node follows a leader; idle while it leads or knows no leader. Never returns. */
     suspend fun placePeriodically() {
         while (true) {
             val leader =
@@ -29,7 +29,7 @@
             }
             try {
                 val planRequestedAt = node.admission.beginPlanRequest()
-                when (val response = leader.ask(summaryRequest(), node.tuning.summaryWaitMs + RESPONSE_MS)) {
+                when (val response = leader.ask(summaryRequest(), node.tuning.summaryWaitMs + RESPONSE_TIMEOUT_MS)) {
                     is PeerMessage.SummaryResponse -> {
                         apply(response, planRequestedAt)
                         delay(place(response, leader))
@@ -37,7 +37,7 @@
                     else -> delay(Leadership.CAMPAIGN_MS)
                 }
             } catch (e: IOException) {
-                log.debug("summary: {}", e.message)
+                log.debug("placement round with the leader: {}", e.message)
                 delay(Leadership.CAMPAIGN_MS)
             }
         }
@@ -54,7 +54,7 @@
             node.admission.grantedPerS,
         )
 
-    /** Takes over what the leader granted this node, and what it says of itself. */
+    /** Applies what the leader's response says beside the summary: quota plan, write budget, lease and version of the rules. */
     private fun apply(response: PeerMessage.SummaryResponse, planRequestedAt: Long) {
         node.reachability.peerContacted()
         node.leaderLiveness.recordResponse(clock.steady())
@@ -64,16 +64,16 @@
         node.rules?.noteVersion(response.summary.rules.version)
     }
 
-    /** Sends what this node proposes to [leader]; the milliseconds until the next round. */
+    /** Sends this node's proposals to [leader]. Returns the delay until the next round, in milliseconds. */
     private suspend fun place(response: PeerMessage.SummaryResponse, leader: PeerClient): Long {
         val proposals = round.place(response.summary)
         if (proposals.isEmpty()) return node.tuning.placementIntervalMs
-        leader.ask(PeerMessage.PlacementProposals(response.term, proposals), RESPONSE_MS)
-        return AFTER_PROPOSALS_MS
+        leader.ask(PeerMessage.PlacementProposals(response.term, proposals), RESPONSE_TIMEOUT_MS)
+        return DELAY_AFTER_PROPOSALS_MS
     }
 
     private companion object {
-        const val RESPONSE_MS = 1_500L
-        const val AFTER_PROPOSALS_MS = 100L
+        const val RESPONSE_TIMEOUT_MS = 1_500L
+        const val DELAY_AFTER_PROPOSALS_MS = 100L
     }
 }
--- a/src/main/kotlin/org/honeyjunction/app/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/org/honeyjunction/app/HeartbeatEndpoint.kt
@@ -7,22 +7,23 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Receives workers' heartbeats: the leader answers with its fencing token and commands, any other node redirects the worker
- * to the leader as far as it knows one that is alive.
+ * Receives workers' heartbeats. The leader responds with its fencing token and commands; any other node redirects the worker to
+ * the leader, if it knows a live one.
  */
 internal class HeartbeatEndpoint(private val node: Node, private val candidacy: Candidacy) {
     private val log = LoggerFactory.getLogger(Node::class.java)
     private val received = RecentCount(WINDOW_MS)
 
-    /** The number of heartbeats that reached this node within the last seconds before [now]. */
+    /** The number of heartbeats that reached this node within [WINDOW_MS] before [now]. */
     fun recent(now: Long): Int = received.count(now)
 
+    /** The response to the heartbeat in [request]. */
     fun handle(request: Request): Response {
         val heartbeat =
             try {
                 WorkerCodec.heartbeat(request.body)
             } catch (e: MalformedException) {
-                log.debug("report: {}", e.message)
+                log.debug("malformed heartbeat: {}", e.message)
                 return Response(400)
             }
         received.note(node.clock.steady())
@@ -42,7 +43,7 @@
     companion object {
         const val PATH = "/hello"
 
-        /** A heartbeat that has grown too large must be answered all the same: only the answer makes it smaller. */
+        /** The limit is high, because a heartbeat that has grown large shrinks only once the leader has responded to it. */
         const val MAX_BYTES = 512 * 1024
         private const val WINDOW_MS = 5_000L
     }
--- a/src/main/kotlin/org/honeyjunction/app/JobApi.kt
+++ b/src/main/kotlin/org/honeyjunction/app/JobApi.kt
@@ -7,18 +7,18 @@
 import java.io.IOException
 
 /**
- * The HTTP API of jobs: submission, status and cancellation. A response is never older than its request: it is at least as
- * new as anything that any node had responded before.
+ * The HTTP API of jobs: submission, status and cancellation. A response is at least as recent as any response that any node
+ * sent before the request.
  */
 class JobApi(private val node: Node) {
     private val statuses = JobStatusReader(node)
     private val submission = JobSubmission(node, statuses, ::forward)
     private val cancellation = JobCancellation(node, statuses, ::forward)
 
-    /** For the statistics in the log; counts since the last call. */
+    /** Counts since the last call, for the statistics in the log. */
     fun statistics() = "${statuses.statistics()}, ${submission.statistics()}"
 
-    /** [forwarded]: by another controller, so it is not forwarded again. */
+    /** The response to [request]; [forwarded]: another controller forwarded the request, so it is not forwarded again. */
     suspend fun handle(request: Request, forwarded: Boolean = false): Response {
         val path = request.path
         val id = path.removePrefix(JOBS_PATH).removePrefix("/").removeSuffix(CANCEL_SUFFIX)
@@ -45,7 +45,7 @@
     /** Whether a job of this id was ever accepted. */
     suspend fun wasAccepted(id: String): Boolean = statuses.certainStatus(id) != null || statuses.readRecord(id) != null
 
-    /** The leader's response to [request]; null where it gives none. */
+    /** Forwards [request] to the leader. Returns the leader's response, or null if there is none. */
     suspend fun forward(request: Request): Response? {
         val message = PeerMessage.ForwardedRequest(request.method, request.path, request.body)
         val response = node.askLeader(message, FORWARD_TIMEOUT_MS) as? PeerMessage.ForwardedResponse ?: return null
--- a/src/main/kotlin/org/honeyjunction/app/JobStatusReader.kt
+++ b/src/main/kotlin/org/honeyjunction/app/JobStatusReader.kt
@@ -7,20 +7,21 @@
 import org.honeyjunction.wire.MalformedException
 import java.io.IOException
 
-/** What is known of a job at the time of a request. */
+/** The result of reading the status of a job. */
 internal sealed interface StatusResult {
+    /** The job exists and has this [status]. */
     class Found(val status: JobStatus) : StatusResult
 
     /** No such job was ever accepted. */
     data object NotFound : StatusResult
 
-    /** Unknown at present. */
+    /** The status can't be read at present, for this [reason]. */
     class Unavailable(val reason: String) : StatusResult
 }
 
 /**
- * Reads the status of jobs from the first source that is certain of it: terminal statuses seen before, the leader's memory
- * under its lease, the record in the state service.
+ * Reads the status of jobs from the first source that is certain of it: the cached terminal statuses, the leader's memory while
+ * it holds its lease, the record in the state service.
  */
 internal class JobStatusReader(private val node: Node) {
     /** Terminal statuses never change, so they are cached; the oldest are evicted. */
@@ -36,24 +37,25 @@
     /** The cached terminal status of a job, or null. */
     fun terminalStatus(id: String): JobStatus? = terminalStatuses[id]
 
+    /** Caches the terminal [status] of job [id]. */
     fun cacheTerminal(id: String, status: JobStatus) {
         terminalStatuses[id] = status
     }
 
-    /** Known for certain without a query: terminal, or in the leader's memory while it holds its lease. */
+    /** The status of job [id] if no query is needed: cached as terminal, or in this node's memory while it holds the leader lease. */
     fun certainStatus(id: String): JobStatus? = terminalStatuses[id] ?: node.certainLeader?.leader?.confirmedStatus(id)
 
-    /** Whether a job of this id was ever accepted, by its records in the state service; coalesced with other queries. */
+    /** Whether a job of this id was ever accepted, as its records in the state service say; coalesced with other queries. */
     suspend fun isRecorded(id: String): QueryOutcome<Boolean> = queries.accepted.query(id)
 
-    /** Coalesced with other users' queries where it needs a response of the leader or the state service. */
+    /** Reads the status of job [id]. Queries to the leader and to the state service are coalesced with those of other users. */
     suspend fun read(id: String): StatusResult {
         certainStatus(id)?.let { return found(id, it) }
         if (node.leaderWorthAsking) {
             when (val outcome = queries.leader.query(id)) {
                 is QueryOutcome.Answered -> return found(id, outcome.answer)
                 QueryOutcome.Rejected -> return StatusResult.Unavailable(JobApi.TOO_MANY_QUERIES)
-                // The leader is not certain, or does not respond: the record tells.
+                // The leader is not certain, or does not respond: the record is read instead.
                 QueryOutcome.NoResponse -> Unit
             }
         }
@@ -83,7 +85,7 @@
         }
     }
 
-    /** The status that a record tells by itself. */
+    /** The status that follows from the record alone, without the leader's counts of tasks. */
     fun status(job: StoredJob) = JobStatus(job.stage, if (job.stage == JobStage.DONE) job.spec.tasks else 0, 0)
 
     private companion object {
--- a/src/main/kotlin/org/honeyjunction/app/JobSubmission.kt
+++ b/src/main/kotlin/org/honeyjunction/app/JobSubmission.kt
@@ -16,27 +16,28 @@
 import org.honeyjunction.wire.Response
 import org.honeyjunction.wire.Write
 
-/** Accepts jobs. A submission is idempotent by the job's id: a retry of an accepted one is responded to with the job's status. */
+/** Accepts jobs. A submission is idempotent by the job's id: the response to a retry of an accepted one is the job's status. */
 internal class JobSubmission(
     private val node: Node,
     private val statuses: JobStatusReader,
     private val forward: suspend (Request) -> Response?,
 ) {
-    /** Submissions of jobs that had been accepted already, since the last call of [statistics]. */
-    private var repeated = 0
+    /** The number of submissions of jobs that had been accepted already, since the last call of [statistics]. */
+    private var repeatedCount = 0
 
-    fun statistics() = "$repeated repeated submissions".also { repeated = 0 }
+    /** Counts since the last call, for the statistics in the log. */
+    fun statistics() = "$repeatedCount repeated submissions".also { repeatedCount = 0 }
 
     /**
-     * A submission with the id of an accepted job is a query for its status, whatever its body is now: it takes no admission
-     * token, changes nothing, and is never rejected as a new job would be. Only a job without a record is validated and
-     * admitted.
+     * A submission with the id of an accepted job is a query for the job's status, even if its body differs: the submission takes
+     * no admission token, changes nothing, and is never rejected as a new job can be. Only a job without a record passes
+     * admission control and validation.
      */
     suspend fun submit(request: Request, forwarded: Boolean): Response {
         val id = JobCodec.id(request.body) ?: return Response(400, Json.error("not an object with a valid Ref"))
-        statuses.certainStatus(id)?.let { return accepted(200, id, it) }
+        statuses.certainStatus(id)?.let { return statusResponse(200, id, it) }
         if (!forwarded && node.stateRefused) {
-            // Only this node is cut off from the state service: the leader decides and takes the job.
+            // Only this node is cut off from the state service: the leader decides, and accepts the job if it is admitted.
             return forward(request) ?: node.serviceUnavailable("the state service refuses this node", id)
         }
         return when (val recorded = statuses.isRecorded(id)) {
@@ -47,15 +48,15 @@
     }
 
     private suspend fun repeatedSubmission(id: String): Response {
-        repeated++
+        repeatedCount++
         return when (val result = statuses.read(id)) {
-            is StatusResult.Found -> accepted(200, id, result.status)
+            is StatusResult.Found -> statusResponse(200, id, result.status)
             StatusResult.NotFound -> serviceUnavailable("the job is being written")
             is StatusResult.Unavailable -> node.serviceUnavailable(result.reason, id)
         }
     }
 
-    /** Admission is decided by the head alone, before the rest is parsed: a rejection must be cheap. */
+    /** Admission is decided by the job's head alone, before the rest of the body is parsed, so that rejections are cheap. */
     private suspend fun newSubmission(request: Request, id: String): Response {
         val priority =
             when (val decision = node.admission.decide(JobCodec.head(request.body))) {
@@ -83,7 +84,7 @@
         return spec
     }
 
-    /** Whether the job can ever run on the cluster and under the rules; rules that were not read yet may forbid it. */
+    /** Whether the job can ever run on the cluster under the rules in force; unknown until the rules have been read. */
     private fun validate(spec: JobSpec): Feasibility {
         val rules = node.rules ?: return node.settings.cluster.checkFeasibility(spec)
         val feasibility = rules.book.checkFeasibility(spec)
@@ -95,12 +96,12 @@
         val record = JobCodec.record(spec, node.settings.node, node.clock.wall(), JobStage.ACTIVE)
         val absent = listOf(Condition(Keys.job(spec.id), 0), Condition(Keys.terminalRecord(spec.id), 0))
         return when (node.state.commit(absent, listOf(Write(Keys.job(spec.id), record)), priority, spec.team)) {
-            is CompareAndSwapOutcome.Applied -> accepted(201, spec.id, JobStatus(JobStage.ACTIVE, 0, 0))
-            // Accepted by another node a moment ago, or by an earlier attempt of this write.
+            is CompareAndSwapOutcome.Applied -> statusResponse(201, spec.id, JobStatus(JobStage.ACTIVE, 0, 0))
+            // Another node accepted the job a moment ago, or an earlier attempt of this write was applied.
             CompareAndSwapOutcome.Conflict -> repeatedSubmission(spec.id)
             CompareAndSwapOutcome.Unknown -> node.serviceUnavailable("not known to be written", spec.id)
         }
     }
 
-    private fun accepted(statusCode: Int, id: String, job: JobStatus) = Response(statusCode, JobCodec.answer(id, job, counts = false))
+    private fun statusResponse(statusCode: Int, id: String, job: JobStatus) = Response(statusCode, JobCodec.answer(id, job, counts = false))
 }
--- a/src/main/kotlin/org/honeyjunction/app/leader/ChangeEncoder.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/ChangeEncoder.kt
@@ -13,7 +13,7 @@
 
 /** Encodes a leader's changes as conditions and writes of the key-value store. */
 internal class ChangeEncoder(private val leader: Leader, private val clock: Clock) {
-    /** The version that the changed record must have, where only this term writes it. */
+    /** The condition on the version of a record that only this term writes; null for checkpoints, which are overwritten in any version. */
     fun condition(change: Change): Condition? =
         when (change) {
             is Change.JournalPage -> Condition(Keys.journalPage(change.record.page), change.record.version)
@@ -21,7 +21,7 @@
             is Change.MachineCheckpoints, is Change.Checkpoint -> null
         }
 
-    /** [inPlace]: a terminal record is written over the record of the active job. */
+    /** The writes of [change]; [inPlace]: a terminal record is written over the record of the active job. */
     fun writes(change: Change, inPlace: Boolean): List<Write> =
         when (change) {
             is Change.JournalPage ->
--- a/src/main/kotlin/org/honeyjunction/app/leader/CommandSender.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/CommandSender.kt
@@ -9,11 +9,12 @@
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
-/** Sends a leader's commands to the workers, and reports their responses to it. */
+/** Sends a leader's commands to the workers, and passes their responses to the leader. */
 internal class CommandSender(private val context: TermContext, loop: EventLoop) {
     private val log = LoggerFactory.getLogger(CommandSender::class.java)
     private val connections = Connections(loop, context.leader.state.cluster.maxCommandsInFlight, perAddress = 1)
 
+    /** Sends the commands of [effect] to its worker, and reports to the leader whether the worker executed them. */
     suspend fun sendCommands(effect: Effect.Send) {
         val leader = context.leader
         try {
@@ -25,10 +26,10 @@
                 else -> leader.commandUnanswered(effect.id, now)
             }
         } catch (e: IOException) {
-            log.debug("commands to {}: {}", effect.machine, e.message)
+            log.debug("sending commands to {}: {}", effect.machine, e.message)
             leader.commandUnanswered(effect.id, context.clock.steady())
         } catch (e: MalformedException) {
-            log.warn("{} answered what can't be read: {}", effect.machine, e.message)
+            log.warn("malformed response to commands from {}: {}", effect.machine, e.message)
             leader.commandUnanswered(effect.id, context.clock.steady())
         }
         context.executeEffects()
@@ -40,14 +41,15 @@
             "POST",
             "/commands",
             WorkerCodec.commands(effect.token, effect.session, effect.commands),
-            TIMEOUT_MS,
+            RESPONSE_TIMEOUT_MS,
             context.mayStillAct(withinLease = !effect.startsNothing),
         )
 
+    /** Closes the connections to all workers. */
     fun close() = connections.closeAll()
 
     private companion object {
-        const val TIMEOUT_MS = 2_000L
+        const val RESPONSE_TIMEOUT_MS = 2_000L
         const val MAX_RESPONSE_BYTES = 256 * 1024
     }
 }
--- a/src/main/kotlin/org/honeyjunction/app/leader/CommitExecutor.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/CommitExecutor.kt
@@ -14,30 +14,32 @@
 import java.io.IOException
 
 /**
- * Commits a leader's changes to the key-value store by compare-and-swap, fenced by its term, and reports their outcomes to it.
+ * Commits a leader's changes to the key-value store by compare-and-swap, fenced by the leader's term, and reports the outcomes to
+ * the leader.
  *
- * [recordPlacement]: null where terminal records are always written to their own keys.
+ * [recordPlacement] is null if terminal records are always written to the keys of terminal records.
  */
 internal class CommitExecutor(
     private val context: TermContext,
-    private val state: KeyValueClient,
+    private val store: KeyValueClient,
     private val recordPlacement: TerminalRecordPlacement?,
     private val demandExceedsCapacity: () -> Boolean,
 ) {
     private val log = LoggerFactory.getLogger(CommitExecutor::class.java)
     private val encoder = ChangeEncoder(context.leader, context.clock)
 
+    /** Commits the changes of [effect] in one transaction, and reports the outcome to the leader. */
     suspend fun commit(effect: Effect.Commit) {
         val changes = effect.changes
         val inPlace = shouldWriteInPlace(changes)
         val outcome =
-            when (val written = write(changes, inPlace)) {
-                is CompareAndSwapOutcome.Applied -> CommitOutcome.Applied(written.revision)
-                CompareAndSwapOutcome.Conflict -> explainRefusal(changes)
+            when (val writeOutcome = write(changes, inPlace)) {
+                is CompareAndSwapOutcome.Applied -> CommitOutcome.Applied(writeOutcome.revision)
+                CompareAndSwapOutcome.Conflict -> resolveConflict(changes)
                 CompareAndSwapOutcome.Unknown -> journalPageOutcome(changes) ?: CommitOutcome.Failed()
             }
         if (inPlace && outcome is CommitOutcome.Applied) recordPlacement!!.addInPlace((changes.single() as Change.JobFinished).job)
-        // A job whose terminal record is in doubt is read before it is retried, so that needs no delay here.
+        // A failed terminal record needs no delay here, because the job's record is read before the write is retried.
         if (outcome is CommitOutcome.Failed && changes.none { it is Change.JobFinished }) delay(RETRY_MS)
         context.leader.committed(effect.id, outcome, context.clock.steady())
         context.executeEffects()
@@ -46,34 +48,34 @@
     private fun shouldWriteInPlace(changes: List<Change>): Boolean =
         recordPlacement != null &&
             changes.singleOrNull() is Change.JobFinished &&
-            recordPlacement.shouldWriteInPlace(state.queueingDelayS(WritePriority.OTHER), demandExceedsCapacity())
+            recordPlacement.shouldWriteInPlace(store.queueingDelayS(WritePriority.OTHER), demandExceedsCapacity())
 
-    /** Journal pages go before the rest: task starts wait for their page, and the pages are paced by the leader. */
+    /** Journal pages are written before other changes: task starts wait for their page, and the leader limits the rate of the pages. */
     private suspend fun write(changes: List<Change>, inPlace: Boolean): CompareAndSwapOutcome {
         val conditions = listOf(context.fence) + changes.mapNotNull(encoder::condition)
         val writes = changes.flatMap { encoder.writes(it, inPlace) }
         val priority = if (changes.any { it is Change.JournalPage }) WritePriority.JOURNAL else WritePriority.OTHER
-        return state.commit(conditions, writes, priority, fairnessLane(changes))
+        return store.commit(conditions, writes, priority, fairnessLane(changes))
     }
 
-    /** Terminal records of different teams take turns; everything else shares a lane. */
+    /** The write queue's lane for [changes]: terminal records of different teams take turns; all other changes share one lane. */
     private fun fairnessLane(changes: List<Change>): String {
-        val job = changes.firstNotNullOfOrNull { (it as? Change.JobFinished)?.let { over -> context.leader.state.job(over.job) } }
+        val job = changes.firstNotNullOfOrNull { (it as? Change.JobFinished)?.let { finished -> context.leader.state.job(finished.job) } }
         return job?.spec?.team.orEmpty()
     }
 
-    /** A refusal means a lost term, or that an earlier attempt of the same write was applied after all. */
-    private suspend fun explainRefusal(changes: List<Change>): CommitOutcome =
+    /** Finds out whether a conflict means that the term is lost, or that an earlier attempt of the same write was applied. */
+    private suspend fun resolveConflict(changes: List<Change>): CommitOutcome =
         try {
             when {
-                state.get(Keys.LEADER_RECORD).version != context.term.leaderRecordVersion -> termLost("the term was taken")
+                store.get(Keys.LEADER_RECORD).version != context.term.leaderRecordVersion -> termLost("another term has begun")
                 changes.any { it is Change.JournalPage } -> checkNotNull(journalPageOutcome(changes))
-                // In doubt until its record is read.
+                // The outcome is unknown until the leader has the job's record read.
                 changes.any { it is Change.JobFinished } -> CommitOutcome.Failed()
                 else -> termLost("a record differs from what this term wrote")
             }
         } catch (e: IOException) {
-            log.debug("reading after a refusal: {}", e.message)
+            log.debug("reading after a conflict: {}", e.message)
             journalPageOutcome(changes) ?: CommitOutcome.Failed()
         }
 
@@ -83,14 +85,14 @@
     }
 
     /**
-     * Whether the journal page among [changes] was written; null where there is none. The next write of the page needs its
-     * version, so this is retried until it is known.
+     * Reads whether the journal page among [changes] was written; returns null if there is no page among them. The next write of the
+     * page needs the page's version, so the read is retried until it succeeds.
      */
     private suspend fun journalPageOutcome(changes: List<Change>): CommitOutcome? {
         val page = changes.firstNotNullOfOrNull { it as? Change.JournalPage } ?: return null
         while (true) {
             try {
-                val entry = state.get(Keys.journalPage(page.record.page))
+                val entry = store.get(Keys.journalPage(page.record.page))
                 val applied = JournalPageCodec.writeNumber(entry.value) == page.writeId
                 return if (applied) CommitOutcome.Applied(entry.version) else CommitOutcome.Failed(entry.version)
             } catch (e: IOException) {
--- a/src/main/kotlin/org/honeyjunction/app/leader/InstanceManager.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/InstanceManager.kt
@@ -7,11 +7,11 @@
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
-/** Scales machines out and in at the cloud for a leader, and lists them for it. */
+/** Rents and returns machines at the cloud as the leader decides, and lists the rented machines for the leader. */
 internal class InstanceManager(private val context: TermContext, private val cloud: CloudClient) {
     private val log = LoggerFactory.getLogger(InstanceManager::class.java)
 
-    /** Lists all rented machines in regular intervals; never returns. */
+    /** Lists all rented machines at regular intervals; never returns. */
     suspend fun listMachines() {
         while (true) {
             try {
@@ -34,6 +34,7 @@
         return machines
     }
 
+    /** Rents the machines of [effect], and reports the outcome to the leader. */
     suspend fun scaleOut(effect: Effect.ScaleOut) {
         val leader = context.leader
         try {
@@ -64,6 +65,7 @@
         log.info("scale-out-refused: no capacity for {} in {} (spot: {}): {} requested", effect.type, effect.zone, spot, effect.count)
     }
 
+    /** Returns the machines of [effect], and reports to the leader whether the cloud confirmed it. */
     suspend fun scaleIn(effect: Effect.ScaleIn) {
         val confirmed =
             try {
--- a/src/main/kotlin/org/honeyjunction/app/leader/JobFollower.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/JobFollower.kt
@@ -10,19 +10,19 @@
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
-/** Follows the records of active jobs in the key-value store, so that the leader learns of jobs that other nodes accepted. */
-internal class JobFollower(private val context: TermContext, private val state: KeyValueClient) {
+/** Watches the records of active jobs in the key-value store, so that the leader observes jobs that other nodes accepted. */
+internal class JobFollower(private val context: TermContext, private val store: KeyValueClient) {
     private val log = LoggerFactory.getLogger(JobFollower::class.java)
 
-    /** Follows all changes after the revision [from]; never returns. */
+    /** Watches all changes after the revision [from]; never returns. */
     suspend fun followJobs(from: Long) {
         var since = from
         while (true) {
             try {
-                val changes = state.changes(Keys.JOBS, since, WATCH_MS)
+                val changes = store.changes(Keys.JOBS, since, WATCH_TIMEOUT_MS)
                 if (changes == null) {
-                    // The revision is too old to be followed: all records are read again.
-                    val (entries, revision) = state.scan(Keys.JOBS)
+                    // The store does not keep changes since this revision any more: all records are read again.
+                    val (entries, revision) = store.scan(Keys.JOBS)
                     entries.forEach { entry -> entry.value?.let { observe(it, entry.version) } }
                     since = revision
                     continue
@@ -32,7 +32,7 @@
                 since = revision
                 context.executeEffects()
             } catch (e: IOException) {
-                log.debug("following jobs: {}", e.message)
+                log.debug("watching the records of jobs: {}", e.message)
                 delay(RETRY_MS)
             }
         }
@@ -43,12 +43,12 @@
             val job = JobCodec.stored(record, version)
             if (job.stage == JobStage.ACTIVE) context.leader.jobObserved(job, context.clock.steady(), context.clock.wall())
         } catch (e: MalformedException) {
-            log.error("a job's record can't be read: {}", e.message)
+            log.error("malformed record of a job: {}", e.message)
         }
     }
 
     private companion object {
-        const val WATCH_MS = 20_000L
+        const val WATCH_TIMEOUT_MS = 20_000L
         const val RETRY_MS = 300L
     }
 }
--- a/src/main/kotlin/org/honeyjunction/app/leader/JobRecordReader.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/JobRecordReader.kt
@@ -15,36 +15,36 @@
 /** Reads the records of jobs whose terminal write has an unknown outcome, and reports them to the leader. */
 internal class JobRecordReader(
     private val context: TermContext,
-    private val state: KeyValueClient,
+    private val store: KeyValueClient,
     private val recordPlacement: TerminalRecordPlacement?,
 ) {
     private val log = LoggerFactory.getLogger(JobRecordReader::class.java)
 
-    /** Many jobs can be in doubt at once, and reading their records must not delay other requests. */
+    /** Limits concurrent reads: the outcomes of many jobs can be unknown at once, and their reads must not delay other requests. */
     private val permits = Semaphore(MAX_CONCURRENT_READS)
 
-    /** The leader asks again where the record settles nothing: that is delayed. */
+    /** Reads the record of [job] for the leader. Unless the job has finished, the leader will read it again, so the report is delayed. */
     suspend fun read(job: String) {
-        val found = permits.withPermit { readOrDelay(job) }
-        if (found !is JobRecord.Finished) delay(RETRY_MS)
-        context.leader.jobRecordRead(job, found, context.clock.steady())
+        val record = permits.withPermit { readOrDelay(job) }
+        if (record !is JobRecord.Finished) delay(RETRY_MS)
+        context.leader.jobRecordRead(job, record, context.clock.steady())
         context.executeEffects()
     }
 
     private suspend fun readOrDelay(job: String): JobRecord =
         try {
-            record(job)
+            lookUp(job)
         } catch (e: IOException) {
             log.debug("reading the record of {}: {}", job, e.message)
-            // With the permit: the next read would fail as well.
+            // The permit is kept during the delay, because the next read would probably fail as well.
             delay(RETRY_MS)
             JobRecord.Unread
         }
 
-    /** A record moves from the active keys to the terminal ones and never back, so it is looked up in this order. */
-    private suspend fun record(job: String): JobRecord {
-        val active = state.get(Keys.job(job))
-        val value = active.value ?: state.get(Keys.terminalRecord(job)).value ?: return JobRecord.Absent
+    /** A record moves from the key of the active job to that of the terminal record and never back, so the keys are read in this order. */
+    private suspend fun lookUp(job: String): JobRecord {
+        val active = store.get(Keys.job(job))
+        val value = active.value ?: store.get(Keys.terminalRecord(job)).value ?: return JobRecord.Absent
         val stage = JobCodec.stored(value, active.version).stage
         if (stage == JobStage.ACTIVE) return JobRecord.Active(active.version)
         if (active.value != null) recordPlacement?.addInPlace(job)
--- a/src/main/kotlin/org/honeyjunction/app/leader/TermContext.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/TermContext.kt
@@ -8,23 +8,24 @@
 import org.honeyjunction.io.Clock
 import org.honeyjunction.wire.Condition
 
-/** What the parts of the leader's driver share during one term. All of it runs on one event loop. */
+/** The state that the components of the leader's driver share during one term. The components run on one event loop. */
 internal class TermContext(
     val term: Term,
     val leader: Leader,
     val clock: Clock,
-    /** Ends with the term. */
+    /** Cancelled when the term ends. */
     val scope: CoroutineScope,
-    /** Starts the effects that the leader has asked for since the last call. */
+    /** Starts the effects that the leader has requested since the last call. */
     val executeEffects: () -> Unit,
-    /** Another node leads, or may lead, by the given reason. */
+    /** Called with the reason when another node leads or may lead. */
     val onTermLost: (String) -> Unit,
 ) {
-    /** The fencing token of all writes of this term: no write is applied once a later leader has won. */
+    /** The condition of all writes of this term: no write is applied once another node has won a later term. */
     val fence = Condition(Keys.LEADER_RECORD, term.leaderRecordVersion)
 
     /**
-     * To be asked again at the last moment before a request is sent: this process may have been suspended since the decision.
+     * A check to be called immediately before a request is sent: the process may have been suspended since the leader's decision.
+     * [withinLease]: whether the request needs the leader lease.
      */
     fun mayStillAct(withinLease: Boolean): () -> Boolean = { scope.isActive && leader.mayExecute(clock.steady(), withinLease) }
 }
--- a/src/main/kotlin/org/honeyjunction/app/leader/TerminalRecordMover.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/TerminalRecordMover.kt
@@ -15,16 +15,16 @@
 /** Moves terminal records that were written in place to the keys of terminal records, while no write is queued. */
 internal class TerminalRecordMover(
     private val context: TermContext,
-    private val state: KeyValueClient,
+    private val store: KeyValueClient,
     private val recordPlacement: TerminalRecordPlacement,
 ) {
     private val log = LoggerFactory.getLogger(TerminalRecordMover::class.java)
 
-    /** Never returns. */
+    /** Moves records one at a time; never returns. */
     suspend fun moveAll() {
         while (true) {
             delay(INTERVAL_MS)
-            val job = recordPlacement.startNextMove(state.queuedWrites == 0, context.clock.steady()) ?: continue
+            val job = recordPlacement.startNextMove(store.queuedWrites == 0, context.clock.steady()) ?: continue
             recordPlacement.finishMove(job, tryMove(job))
         }
     }
@@ -37,14 +37,14 @@
             false
         }
 
-    /** True: the record is not in place any more, or the job is active. */
+    /** Moves the record of [job]. Returns true if the record has been moved, now or earlier, or if the job is active. */
     private suspend fun move(job: String): Boolean {
-        val entry = state.get(Keys.job(job))
+        val entry = store.get(Keys.job(job))
         val record = entry.value ?: return true
         if (JobCodec.stored(record, entry.version).stage == JobStage.ACTIVE) return true
         val conditions = listOf(context.fence, Condition(Keys.job(job), entry.version))
         val writes = listOf(Write(Keys.terminalRecord(job), record), Write(Keys.job(job), null))
-        return state.commit(conditions, writes) is CompareAndSwapOutcome.Applied
+        return store.commit(conditions, writes) is CompareAndSwapOutcome.Applied
     }
 
     private companion object {
