--- a/src/main/kotlin/org/honeyjunction/app/AdmissionService.kt
+++ b/src/main/kotlin/org/honeyjunction/app/AdmissionService.kt
@@ -117,7 +117,7 @@
         /** Longer class names are rejected by validation. */
         const val MAX_CLASS_NAME_LENGTH = 200
 
-        /** The share of all writes that is planned with; the rest covers failed writes and the writes of overlapping terms. */
+        /** The share of the allowed writes that plans count on; the rest covers failed writes and the writes of overlapping terms. */
         const val USABLE_SHARE = 0.9
 
         /** The share of the writes that new jobs may always use, even if other writes are queued. */
--- a/src/main/kotlin/org/honeyjunction/app/Files.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Files.kt
@@ -53,11 +53,22 @@
 
 /** The exit statuses of the program; the README documents them. */
 object ExitStatus {
+    /** The command succeeded. */
     const val OK = 0
+
+    /** The command ran but failed, or its result is negative. */
     const val FAILED = 1
+
+    /** The arguments are wrong. */
     const val USAGE = 2
+
+    /** A file is missing, can't be read, or is malformed. */
     const val BAD_FILE = 3
+
+    /** The node can't listen on one of its addresses. */
     const val CANT_LISTEN = 4
+
+    /** No controller responds. */
     const val NO_ANSWER = 5
 }
 
--- a/src/main/kotlin/org/honeyjunction/app/JobApi.kt
+++ b/src/main/kotlin/org/honeyjunction/app/JobApi.kt
@@ -53,10 +53,19 @@
     }
 
     companion object {
+        /** The path of all jobs; a job's own path appends its id. */
         const val JOBS_PATH = "/v2/runs"
+
+        /** Appended to a job's path to cancel the job. */
         const val CANCEL_SUFFIX = "/cancel"
+
+        /** The error of requests that need the state service while it does not respond to this node. */
         const val NO_STATE_SERVICE = "the state service does not answer this node"
+
+        /** The error of requests that need the leader while no node is certain to lead. */
         const val NO_LEADER = "no node is sure to hold the term"
+
+        /** The error of requests that were rejected because too many queries are queued. */
         const val TOO_MANY_QUERIES = "too many questions are waiting"
         private const val FORWARD_TIMEOUT_MS = 1_500L
     }
