--- a/src/main/kotlin/org/honeyjunction/app/AdmissionService.kt
+++ b/src/main/kotlin/org/honeyjunction/app/AdmissionService.kt
@@ -52,7 +52,7 @@
     /** At the leader: the plan of the node [peer] by what it reports; null where this node is not certain to lead. */
     fun planFor(peer: String, demand: List<Demand>, epoch: PlanEpoch, grantedPerS: Double): QuotaPlan? {
         val allocator = allocator ?: return null
-        val leader = node.certainLeader?.leader ?: return null
+        val leader = node.driverWithLease?.leader ?: return null
         val now = node.clock.steady()
         allocator.reportDemand(peer, demand, epoch, grantedPerS, now)
         return allocator.allocate(peer, capacityPerS(), leader.teamsOverTaskShare(teamWeights), now)
--- a/src/main/kotlin/org/honeyjunction/app/ExplainCommand.kt
+++ b/src/main/kotlin/org/honeyjunction/app/ExplainCommand.kt
@@ -35,7 +35,7 @@
         }
         return try {
             val response = OperatorClient.at(at).ask("GET", "${JobApi.JOBS_PATH}/$jobOrTask${RulesApi.EXPLAIN_SUFFIX}")
-            if (response.status != 200) return complain(OperatorClient.why(response), Status.FAILED)
+            if (response.status != 200) return complain(OperatorClient.reason(response), Status.FAILED)
             ExplainCodec.lines(Json.readObject(response.body)).forEach(::println)
             Status.OK
         } catch (e: IllegalArgumentException) {
--- a/src/main/kotlin/org/honeyjunction/app/FollowerRounds.kt
+++ b/src/main/kotlin/org/honeyjunction/app/FollowerRounds.kt
@@ -24,7 +24,7 @@
                     .takeIf { !node.isLeader }
                     ?.let(node.peers::get)
             if (leader == null) {
-                delay(Leadership.CAMPAIGN_MS)
+                delay(Leadership.CAMPAIGN_INTERVAL_MS)
                 continue
             }
             try {
@@ -34,11 +34,11 @@
                         apply(response, planRequestedAt)
                         delay(place(response, leader))
                     }
-                    else -> delay(Leadership.CAMPAIGN_MS)
+                    else -> delay(Leadership.CAMPAIGN_INTERVAL_MS)
                 }
             } catch (e: IOException) {
                 log.debug("summary: {}", e.message)
-                delay(Leadership.CAMPAIGN_MS)
+                delay(Leadership.CAMPAIGN_INTERVAL_MS)
             }
         }
     }
@@ -60,8 +60,8 @@
         node.leaderLiveness.recordResponse(clock.steady())
         node.admission.installPlan(response.plan, planRequestedAt)
         if (response.certain) node.reachability.leaderHeldLease()
-        node.writeBudget.granted(response.writesPerS)
-        node.rules?.noteVersion(response.summary.rules.version)
+        node.writeBudget.useGrantedRate(response.writesPerS)
+        node.rules?.observeVersion(response.summary.rules.version)
     }
 
     /** Sends what this node proposes to [leader]; the milliseconds until the next round. */
--- a/src/main/kotlin/org/honeyjunction/app/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/org/honeyjunction/app/HeartbeatEndpoint.kt
@@ -12,7 +12,7 @@
  */
 internal class HeartbeatEndpoint(private val node: Node, private val candidacy: Candidacy) {
     private val log = LoggerFactory.getLogger(Node::class.java)
-    private val received = RecentCount(WINDOW_MS)
+    private val received = RecentEventCounter(WINDOW_MS)
 
     /** The number of heartbeats that reached this node within the last seconds before [now]. */
     fun recent(now: Long): Int = received.count(now)
@@ -25,7 +25,7 @@
                 log.debug("report: {}", e.message)
                 return Response(400)
             }
-        received.note(node.clock.steady())
+        received.record(node.clock.steady())
         candidacy.heartbeatReceived()
         val driver = node.leadership.driver
         val answer = driver?.leader?.answerHeartbeat(heartbeat, node.clock.steady())
--- a/src/main/kotlin/org/honeyjunction/app/JobCancellation.kt
+++ b/src/main/kotlin/org/honeyjunction/app/JobCancellation.kt
@@ -16,7 +16,7 @@
 ) {
     suspend fun cancel(id: String, forwarded: Boolean): Response {
         statuses.terminalStatus(id)?.let { return ended(id, it) }
-        val driver = node.certainLeader ?: return withoutLease(id, forwarded)
+        val driver = node.driverWithLease ?: return withoutLease(id, forwarded)
         var stage = driver.cancel(id)
         if (stage == null) {
             // Not seen by this leader yet.
--- a/src/main/kotlin/org/honeyjunction/app/JobStatusReader.kt
+++ b/src/main/kotlin/org/honeyjunction/app/JobStatusReader.kt
@@ -41,23 +41,23 @@
     }
 
     /** Known for certain without a query: terminal, or in the leader's memory while it holds its lease. */
-    fun certainStatus(id: String): JobStatus? = terminalStatuses[id] ?: node.certainLeader?.leader?.confirmedStatus(id)
+    fun certainStatus(id: String): JobStatus? = terminalStatuses[id] ?: node.driverWithLease?.leader?.confirmedStatus(id)
 
     /** Whether a job of this id was ever accepted, by its records in the state service; coalesced with other queries. */
-    suspend fun isRecorded(id: String): QueryOutcome<Boolean> = queries.accepted.query(id)
+    suspend fun isRecorded(id: String): QueryOutcome<Boolean> = queries.acceptance.query(id)
 
     /** Coalesced with other users' queries where it needs a response of the leader or the state service. */
     suspend fun read(id: String): StatusResult {
         certainStatus(id)?.let { return found(id, it) }
-        if (node.leaderWorthAsking) {
-            when (val outcome = queries.leader.query(id)) {
+        if (node.isLeaderReachable) {
+            when (val outcome = queries.leaderStatus.query(id)) {
                 is QueryOutcome.Answered -> return found(id, outcome.answer)
                 QueryOutcome.Rejected -> return StatusResult.Unavailable(JobApi.TOO_MANY_QUERIES)
                 // The leader is not certain, or does not respond: the record tells.
                 QueryOutcome.NoResponse -> Unit
             }
         }
-        return when (val outcome = queries.records.query(id)) {
+        return when (val outcome = queries.jobRecord.query(id)) {
             is QueryOutcome.Answered -> outcome.answer.job?.let { found(id, status(it)) } ?: StatusResult.NotFound
             QueryOutcome.Rejected -> StatusResult.Unavailable(JobApi.TOO_MANY_QUERIES)
             QueryOutcome.NoResponse -> StatusResult.Unavailable(JobApi.NO_STATE_SERVICE)
--- a/src/main/kotlin/org/honeyjunction/app/JobSubmission.kt
+++ b/src/main/kotlin/org/honeyjunction/app/JobSubmission.kt
@@ -35,7 +35,7 @@
     suspend fun submit(request: Request, forwarded: Boolean): Response {
         val id = JobCodec.id(request.body) ?: return Response(400, Json.error("not an object with a valid Ref"))
         statuses.certainStatus(id)?.let { return accepted(200, id, it) }
-        if (!forwarded && node.stateRefused) {
+        if (!forwarded && node.refusedByStateService) {
             // Only this node is cut off from the state service: the leader decides and takes the job.
             return forward(request) ?: node.serviceUnavailable("the state service refuses this node", id)
         }
@@ -87,7 +87,7 @@
     private fun validate(spec: JobSpec): Feasibility {
         val rules = node.rules ?: return node.settings.cluster.checkFeasibility(spec)
         val feasibility = rules.book.checkFeasibility(spec)
-        val neverRead = !rules.known && rules.current.version == 0L
+        val neverRead = !rules.isUpToDate && rules.current.version == 0L
         return if (feasibility == Feasibility.Feasible && neverRead) Feasibility.Unknown else feasibility
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/Leadership.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Leadership.kt
@@ -49,7 +49,7 @@
             } catch (e: MalformedException) {
                 log.error("the record of the term can't be read: {}", e.message)
             }
-            delay(CAMPAIGN_MS)
+            delay(CAMPAIGN_INTERVAL_MS)
         }
     }
 
@@ -122,7 +122,7 @@
     private suspend fun begin(current: LeaderDriver, jobsRevision: Long) {
         driver = current
         node.admission.startTerm(current.term.number)
-        node.writeBudget.termBegins()
+        node.writeBudget.startTerm()
         termStartedAt = clock.steady()
         if (registry != null) {
             current.leader.useJobRules(NomadLeader.rules(registry))
@@ -192,7 +192,7 @@
 
     companion object {
         /** Between two looks at who leads. */
-        const val CAMPAIGN_MS = 400L
+        const val CAMPAIGN_INTERVAL_MS = 400L
         private const val UNREACHABLE_MS = 12_000L
     }
 }
--- a/src/main/kotlin/org/honeyjunction/app/Node.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Node.kt
@@ -43,7 +43,7 @@
 
     // What users and operators ask for.
     val admission = AdmissionService(this)
-    val users = JobApi(this)
+    val jobApi = JobApi(this)
     val rules = if (tuning.rules) RulesStore(this, ::useRules) else null
     private val rulesApi = rules?.let { RulesApi(this, it) }
     private val nativeStatus = NativeStatus(this)
@@ -72,11 +72,11 @@
 
     val scope get() = loop.scope
 
-    /** This node leads a term; it may have lost the lease without knowing so yet, see [certainLeader]. */
+    /** This node leads a term; it may have lost the lease without knowing so yet, see [driverWithLease]. */
     val isLeader: Boolean get() = leadership.driver != null
 
     /** The driver of this node's term while it is sure to hold the leader lease. */
-    val certainLeader: LeaderDriver? get() = leadership.driver?.takeIf { it.holdsLease }
+    val driverWithLease: LeaderDriver? get() = leadership.driver?.takeIf { it.holdsLease }
 
     /** The latest term that this node knows of. */
     val knownTerm: Long get() = election.term
@@ -85,7 +85,7 @@
     val leaderName: String? get() = if (isLeader) settings.node else election.leader
 
     /** Another node leads, as far as this node knows, and has answered it lately. */
-    val leaderWorthAsking: Boolean
+    val isLeaderReachable: Boolean
         get() {
             if (isLeader) return false
             val liveLeader = leaderLiveness.reachableLeader(clock.steady())
@@ -96,16 +96,16 @@
     val outageMs: Long get() = reachability.outageMs
 
     /** The state service answers the leader, but not this node. */
-    val stateRefused: Boolean get() = reachability.refusedByStateService
+    val refusedByStateService: Boolean get() = reachability.refusedByStateService
 
     /** Too many writes or tasks wait already: another job would not be answered in time, or not fit into memory. */
     val overloaded: Boolean get() = state.congested || leadership.driver?.leader?.taskLimitReached ?: false
 
     /** Jobs that wait beside free machines for longer than they should, as the leader counts them. */
-    val stalled: List<StalledJob> get() = certainLeader?.leader?.stalledJobs(clock.steady()).orEmpty()
+    val stalledJobs: List<StalledJob> get() = driverWithLease?.leader?.stalledJobs(clock.steady()).orEmpty()
 
     /** Classes and teams of which less than half were served beside free machines, as the leader counts them. */
-    val starved: Map<FairnessGroup, ServedCount> get() = certainLeader?.leader?.starvedGroups(clock.steady()).orEmpty()
+    val starvedGroups: Map<FairnessGroup, ServedCount> get() = driverWithLease?.leader?.starvedGroups(clock.steady()).orEmpty()
 
     /** Listens on the node's addresses and starts its loops; throws [IOException] where an address can't be listened on. */
     fun start() {
@@ -138,7 +138,7 @@
     internal fun recentHeartbeats(now: Long): Int = heartbeats.recent(now)
 
     /** For the periodic statistics of a leader. */
-    internal fun requestStatistics(): String = "${server.statistics}; ${users.statistics()}; ${admission.statistics()}"
+    internal fun requestStatistics(): String = "${server.statistics}; ${jobApi.statistics()}; ${admission.statistics()}"
 
     private fun useRules(stored: StoredRules) {
         leadership.driver?.leader?.useRules(stored.set)
--- a/src/main/kotlin/org/honeyjunction/app/OperatorClient.kt
+++ b/src/main/kotlin/org/honeyjunction/app/OperatorClient.kt
@@ -27,7 +27,7 @@
                                     HttpClient(Connections(loop, most = 1), address).send(method, path, body, TIMEOUT_MS)
                                 }
                             if (response.status != 503 && response.status != 429) return@runBlocking response
-                            lastError = "$address says to come back: ${why(response)}"
+                            lastError = "$address says to come back: ${reason(response)}"
                         } catch (e: IOException) {
                             lastError = e.message ?: "$address does not answer"
                         }
@@ -48,7 +48,7 @@
             OperatorClient(text.split(',').map { it.trim().removePrefix("http://").removeSuffix("/") }.onEach { socketAddress(it) })
 
         /** The error that [response] names, or else its status. */
-        fun why(response: Response): String =
+        fun reason(response: Response): String =
             try {
                 Json.readObject(response.body).get("error")?.textValue() ?: "status ${response.status}"
             } catch (_: MalformedException) {
@@ -58,7 +58,7 @@
 }
 
 /** Runs a command that reads files and asks controllers: an error is printed in one line and becomes its documented exit status. */
-inline fun reporting(run: () -> Int): Int =
+inline fun withErrorReporting(run: () -> Int): Int =
     try {
         run()
     } catch (e: MalformedException) {
--- a/src/main/kotlin/org/honeyjunction/app/PeerRequests.kt
+++ b/src/main/kotlin/org/honeyjunction/app/PeerRequests.kt
@@ -36,7 +36,7 @@
         leadership.observeTerm(request.term, "")
         if (before != null) leadership.resignIfUnreachableByWorkers(before, request)
         val driver = leadership.driver ?: return notLeader()
-        val writesPerS = node.writeBudget.grant(request.node, request.queuedWrites)
+        val writesPerS = node.writeBudget.allocateShare(request.node, request.queuedWrites)
         val summary = summaryFor(driver, request.node)
         // The plan is made last: it counts as in force from now on.
         val plan = node.admission.planFor(request.node, request.demand, request.planEpoch, request.grantedPerS) ?: QuotaPlan.NONE
@@ -67,7 +67,7 @@
     }
 
     private fun status(query: PeerMessage.StatusQuery): PeerMessage {
-        val leader = node.certainLeader?.leader ?: return notLeader()
+        val leader = node.driverWithLease?.leader ?: return notLeader()
         return PeerMessage.StatusResponse(query.jobs.mapNotNull { id -> leader.confirmedStatus(id)?.let { id to it } }.toMap())
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/RecentCount.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RecentEventCounter.kt
@@ -1,11 +1,11 @@
 package org.honeyjunction.app
 
 /** Counts the events of the last [windowMs] milliseconds, up to [MAX]. */
-class RecentCount(private val windowMs: Long) {
+class RecentEventCounter(private val windowMs: Long) {
     private val times = ArrayDeque<Long>()
 
     /** Records an event at [now], in steady milliseconds. */
-    fun note(now: Long) {
+    fun record(now: Long) {
         times.addLast(now)
         if (times.size > MAX) times.removeFirst()
     }
--- a/src/main/kotlin/org/honeyjunction/app/RequestRouter.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RequestRouter.kt
@@ -26,7 +26,7 @@
             forwarded && nativeStatus.handles(request.path) -> nativeStatus.answer(request)
             rulesApi != null && rulesApi.handles(request.path) -> rulesApi.handle(request, forwarded)
             request.path == RulesApi.RULES_PATH || request.path.endsWith(RulesApi.EXPLAIN_SUFFIX) -> RulesApi.disabled()
-            else -> node.users.handle(request, forwarded)
+            else -> node.jobApi.handle(request, forwarded)
         }
 
     /** Ready to take requests: knows the machine types, and is not cut off from the state service and every other controller. */
@@ -35,7 +35,7 @@
         val cutOff =
             reachability.stateServiceUnreachable &&
                 node.peers.isNotEmpty() &&
-                node.certainLeader == null &&
+                node.driverWithLease == null &&
                 !reachability.refusedByStateService &&
                 reachability.isolatedFromPeers
         return Response(if (node.settings.cluster.types.isEmpty() || cutOff) 503 else 200)
--- a/src/main/kotlin/org/honeyjunction/app/RulesApi.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RulesApi.kt
@@ -32,7 +32,7 @@
         }
 
     private suspend fun show(): Response {
-        if (!store.known) return serviceUnavailable("the rules are not known here yet")
+        if (!store.isUpToDate) return serviceUnavailable("the rules are not known here yet")
         val rules = store.current
         val body = rules.document.write(Json.obj().put("version", rules.version))
         leaderVersion()?.let { body.put("in_force", it) }
@@ -41,14 +41,14 @@
 
     /** The version by which this node places as the leader; -1 where it is not certain to lead. */
     private fun versionInForce(): Response {
-        val version = node.certainLeader?.leader?.rulesVersion ?: NOT_LEADING
+        val version = node.driverWithLease?.leader?.rulesVersion ?: NOT_LEADING
         return Response(200, Json.write(Json.obj().put("version", version)))
     }
 
     /** The version by which the leader places; null where it can't be asked. */
     private suspend fun leaderVersion(): Long? {
-        node.certainLeader?.let { return it.leader.rulesVersion }
-        val response = node.users.forward(Request("GET", VERSION_PATH, Response.NO_BODY)) ?: return null
+        node.driverWithLease?.let { return it.leader.rulesVersion }
+        val response = node.jobApi.forward(Request("GET", VERSION_PATH, Response.NO_BODY)) ?: return null
         if (response.status != 200) return null
         return Json.readObject(response.body).given("version")?.longValue()?.takeIf { it >= 0 }
     }
@@ -83,10 +83,10 @@
         val id = subject.substringBefore('/')
         val task = if ('/' in subject) taskNumber(subject) ?: return Response(404, Json.error("no such task")) else null
         if (!JobCodec.isId(id)) return Response(404, Json.error("no such job"))
-        val driver = node.certainLeader
+        val driver = node.driverWithLease
         if (driver == null) {
             if (forwarded) return serviceUnavailable(JobApi.NO_LEADER)
-            return node.users.forward(request) ?: serviceUnavailable("the leader does not answer")
+            return node.jobApi.forward(request) ?: serviceUnavailable("the leader does not answer")
         }
         val now = node.clock.steady()
         val job = driver.leader.state.job(id)
@@ -95,7 +95,7 @@
         val maxTasks = if (task == null) MAX_TASKS else 1
         val found = driver.leader.explain(id, task ?: 0, maxTasks, now).orEmpty()
         if (found.isNotEmpty()) return Response(200, ExplainCodec.write(id, found, now, task == null && taskCount > maxTasks))
-        val accepted = job != null || node.users.wasAccepted(id)
+        val accepted = job != null || node.jobApi.wasAccepted(id)
         return if (accepted) explanationExpired(subject) else Response(404, Json.error("no such job"))
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/RulesCommand.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RulesCommand.kt
@@ -52,7 +52,7 @@
             description = ["a cluster's file with machine_types, to warn of rules that none of them meets"],
         ) settings: Path?,
     ): Int =
-        reporting {
+        withErrorReporting {
             val known: Analysis.Inventory? = settings?.let { s -> Files.json(s, "") { LocalSettings(it, null, 1).known() } }
             val topologyName = topology?.toString() ?: "topology"
             val checked = document(file, topology).check(0, known, file.toString(), topologyName, rulesOnly = topology == null)
@@ -80,7 +80,7 @@
             description = ["controllers, as host:port,... (default: \${DEFAULT-VALUE})"],
         ) at: String,
     ): Int =
-        reporting {
+        withErrorReporting {
             val document = document(file, topology)
             val checked = document.check(0, null, file.toString(), topology?.toString() ?: "topology")
             (checked.errors + checked.warnings).forEach(System.err::println)
@@ -114,7 +114,7 @@
             } catch (_: MalformedException) {
                 Json.obj()
             }
-        val errors = body.listOrEmpty("errors").mapNotNull { it.textValue() }.ifEmpty { listOf(OperatorClient.why(response)) }
+        val errors = body.listOrEmpty("errors").mapNotNull { it.textValue() }.ifEmpty { listOf(OperatorClient.reason(response)) }
         errors.forEach { System.err.println("honeyjunction: $it") }
         return Status.FAILED
     }
@@ -133,7 +133,7 @@
             description = ["controllers, as host:port,... (default: \${DEFAULT-VALUE})"],
         ) at: String,
     ): Int =
-        reporting {
+        withErrorReporting {
             val response = OperatorClient.at(at).ask("GET", RulesApi.RULES_PATH)
             if (response.status != 200) return refused(response)
             val stored: ObjectNode = Json.readObject(response.body)
--- a/src/main/kotlin/org/honeyjunction/app/RulesStore.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RulesStore.kt
@@ -56,7 +56,7 @@
         private set
 
     /** Whether [current] is in force, as far as this node knows. False until the state service has been read for the first time. */
-    var known = false
+    var isUpToDate = false
         private set
 
     /** For the validation of submissions; placements go by the leader's own. */
@@ -68,9 +68,9 @@
         var since = 0L
         while (true) {
             try {
-                if (!known) since = refresh()
+                if (!isUpToDate) since = refresh()
                 val changes = state.changes(Keys.RULES, since, WATCH_MS)
-                if (changes == null || changes.changes.isNotEmpty()) known = false else since = changes.revision
+                if (changes == null || changes.changes.isNotEmpty()) isUpToDate = false else since = changes.revision
             } catch (e: IOException) {
                 log.debug("following the rules: {}", e.message)
                 delay(RETRY_MS)
@@ -82,13 +82,13 @@
     suspend fun refresh(): Long {
         val entry = state.get(Keys.RULES)
         use(read(entry))
-        known = true
+        isUpToDate = true
         return entry.version
     }
 
     /** Another controller has [version]: if it is later than this node's, the rules are read again. */
-    fun noteVersion(version: Long) {
-        if (version > current.version) known = false
+    fun observeVersion(version: Long) {
+        if (version > current.version) isUpToDate = false
     }
 
     private fun use(rules: StoredRules) {
--- a/src/main/kotlin/org/honeyjunction/app/StatusQueries.kt
+++ b/src/main/kotlin/org/honeyjunction/app/StatusQueries.kt
@@ -17,14 +17,14 @@
     private val readIntervalMs = (1000 * REQUESTS_PER_READ / (limits.requestsPerS * REQUEST_SHARE)).toLong().coerceAtLeast(1)
 
     /** The status of a job as the leader is certain of it. */
-    val leader =
+    val leaderStatus =
         CoalescedQueries<JobStatus>(node.scope, node.clock, RequestCoalescer(LEADER_INTERVAL_MS, MAX_LEADER_BATCH, MAX_WAIT_MS)) { ids ->
             val response = node.askLeader(PeerMessage.StatusQuery(ids), LEADER_TIMEOUT_MS)
             (response as? PeerMessage.StatusResponse)?.jobs
         }
 
     /** The record of a job. Records are read one by one, at a rate that leaves requests for the lease, journal pages and submissions. */
-    val records =
+    val jobRecord =
         CoalescedQueries<JobLookup>(node.scope, node.clock, RequestCoalescer(readIntervalMs, maxBatch = 1, MAX_WAIT_MS)) { ids ->
             ids.associateWith { JobLookup(readRecord(it)) }
         }
@@ -33,7 +33,7 @@
      * Whether a job of this id was ever accepted, which only its record tells: many ids in one transaction that only compares.
      * That uses up no change, while an attempt to write the record a second time would use up one although it is refused.
      */
-    val accepted =
+    val acceptance =
         CoalescedQueries<Boolean>(node.scope, node.clock, RequestCoalescer(readIntervalMs, maxComparedJobs(), MAX_WAIT_MS)) { ids ->
             val existing = node.state.existing(ids.flatMap { listOf(Keys.job(it), Keys.final(it)) })
             ids.associateWith { Keys.job(it) in existing || Keys.final(it) in existing }
@@ -43,9 +43,9 @@
 
     /** For the statistics in the log: how much of the allowed wait is used up, and how many were rejected since the last call. */
     fun statistics(): String {
-        val rejected = leader.takeRejectedCount() + records.takeRejectedCount() + accepted.takeRejectedCount()
+        val rejected = leaderStatus.takeRejectedCount() + jobRecord.takeRejectedCount() + acceptance.takeRejectedCount()
         val pressure = "pressure %.2f at the leader, %.2f at the records, %.2f before admission"
-        return "status queries: ${pressure.format(leader.pressure(), records.pressure(), accepted.pressure())}, $rejected refused"
+        return "status queries: ${pressure.format(leaderStatus.pressure(), jobRecord.pressure(), acceptance.pressure())}, $rejected refused"
     }
 
     private companion object {
--- a/src/main/kotlin/org/honeyjunction/app/TimelineCommand.kt
+++ b/src/main/kotlin/org/honeyjunction/app/TimelineCommand.kt
@@ -32,7 +32,7 @@
     lateinit var files: List<Path>
 
     @Option(names = ["--events"], description = ["only lines with an event's name"])
-    var events = false
+    var eventsOnly = false
 
     override fun call(): Int {
         val logs =
@@ -68,7 +68,7 @@
     /** The lines to print for [ordered]: none where only events are wanted and it is none. */
     internal fun render(ordered: OrderedEntry): List<String> {
         val entry = ordered.entry
-        if (events && entry.event == null) return emptyList()
+        if (eventsOnly && entry.event == null) return emptyList()
         val firstLine = "${mark(ordered.evidence)} ${entry.timestamp} ${entry.text}"
         return listOf(firstLine) + entry.continuation.map { "    $it" }
     }
--- a/src/main/kotlin/org/honeyjunction/app/WriteBudget.kt
+++ b/src/main/kotlin/org/honeyjunction/app/WriteBudget.kt
@@ -28,7 +28,7 @@
     }
 
     /** This node leads: it allocates the shares from now on, and knows nothing yet of what waits at the others. */
-    fun termBegins() {
+    fun startTerm() {
         allocator = WriteRateAllocator(limits.writesPerS, limits.nodes)
         useLeaderShare(node.clock.steady())
     }
@@ -37,13 +37,13 @@
     fun useFixedShare() = state.setWriteRate(limits.writesPerS * WriteRateAllocator.fixedShare(node.isLeader, limits.nodes))
 
     /** The leader granted this node [writesPerS] changes a second. */
-    fun granted(writesPerS: Double) {
+    fun useGrantedRate(writesPerS: Double) {
         state.setWriteRate(writesPerS)
         grantedAt = node.clock.steady()
     }
 
     /** At the leader: the share of [peer], where [queued] writes wait; in changes a second. */
-    fun grant(peer: String, queued: Int): Double =
+    fun allocateShare(peer: String, queued: Int): Double =
         allocator.followerShare(peer, queued, state.queuedJobWrites, state.schedulingWritesPerS, node.clock.steady())
 
     private fun useLeaderShare(now: Long) =
--- a/src/main/kotlin/org/honeyjunction/app/local/Controllers.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/Controllers.kt
@@ -58,13 +58,13 @@
         running
             .filterNotNull()
             .map { r ->
-                withTimeoutOrNull(ASK_MS) { r.loop.scope.async { r.node.starved }.await() }.orEmpty()
+                withTimeoutOrNull(ASK_MS) { r.loop.scope.async { r.node.starvedGroups }.await() }.orEmpty()
             }.fold(emptyMap()) { all, some -> all + some }
 
     /** What the leader's watch on work conservation says now; nothing of those that do not answer at once. */
     suspend fun stalled(): List<StalledJob> =
         running.filterNotNull().flatMap { r ->
-            withTimeoutOrNull(ASK_MS) { r.loop.scope.async { r.node.stalled }.await() }.orEmpty()
+            withTimeoutOrNull(ASK_MS) { r.loop.scope.async { r.node.stalledJobs }.await() }.orEmpty()
         }
 
     /** What any of them could tell of its state service now: those that are up. */
--- a/src/main/kotlin/org/honeyjunction/app/local/LocalCluster.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/LocalCluster.kt
@@ -113,7 +113,7 @@
      */
     fun apply(document: RulesDocument): List<String> {
         val response = OperatorClient(nodes).ask("POST", RulesApi.RULES_PATH, Json.write(document.write(Json.obj())))
-        if (response.status != 200) throw MalformedException(OperatorClient.why(response))
+        if (response.status != 200) throw MalformedException(OperatorClient.reason(response))
         val answer = Json.readObject(response.body)
         val set = checkNotNull(document.check(answer.count("version")).set)
         reference = ReferenceModel(set)
--- a/src/main/kotlin/org/honeyjunction/app/local/Outcome.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/Outcome.kt
@@ -50,7 +50,7 @@
 
     private fun explain(cluster: LocalCluster, id: String) {
         val r = OperatorClient(cluster.nodes).ask("GET", "${JobApi.JOBS_PATH}/$id${RulesApi.EXPLAIN_SUFFIX}")
-        if (r.status == 200) ExplainCodec.lines(Json.readObject(r.body)).forEach(::println) else println("$id  ${OperatorClient.why(r)}")
+        if (r.status == 200) ExplainCodec.lines(Json.readObject(r.body)).forEach(::println) else println("$id  ${OperatorClient.reason(r)}")
     }
 
     private fun Long?.seconds() = this?.let { "%.1f s".format(it / 1000.0) } ?: "-"
--- a/src/main/kotlin/org/honeyjunction/app/local/VirtualCluster.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/VirtualCluster.kt
@@ -85,7 +85,7 @@
 
     /** What the leader knows of a job that it should have served. */
     private fun describe(cluster: LocalCluster, id: String): String {
-        val leader = cluster.controllers.nodes.firstNotNullOfOrNull { it.certainLeader } ?: return ", no leader"
+        val leader = cluster.controllers.nodes.firstNotNullOfOrNull { it.driverWithLease } ?: return ", no leader"
         val state = leader.leader.state
         val job = state.job(id) ?: return ", not known to the leader"
         val machines =
--- a/src/main/kotlin/org/honeyjunction/app/nomad/JobCommand.kt
+++ b/src/main/kotlin/org/honeyjunction/app/nomad/JobCommand.kt
@@ -7,7 +7,7 @@
 import org.honeyjunction.app.Status
 import org.honeyjunction.app.complain
 import org.honeyjunction.app.local.Outcome
-import org.honeyjunction.app.reporting
+import org.honeyjunction.app.withErrorReporting
 import org.honeyjunction.nomad.Fate
 import org.honeyjunction.nomad.Fields
 import org.honeyjunction.nomad.Group
@@ -110,7 +110,7 @@
         @Mixin o: FileOptions,
         @Option(names = ["--json"], description = ["findings as JSON"]) json: Boolean,
     ): Int =
-        reporting {
+        withErrorReporting {
             val f = o.read()
             val good = f.good(o.strict)
             if (json) {
@@ -150,7 +150,7 @@
             description = ["listeners for job files; what would change there is told too"],
         ) at: String?,
     ): Int =
-        reporting {
+        withErrorReporting {
             val f = o.read()
             if (!o.good(f)) return Status.FAILED
             val job = f.meant.job!!
@@ -215,7 +215,7 @@
         ) index: Long?,
         @Option(names = ["--wait"], paramLabel = "S", description = ["wait so many seconds for it to be live or ended"]) waitS: Int?,
     ): Int =
-        reporting {
+        withErrorReporting {
             val f = o.read()
             if (!o.good(f)) return Status.FAILED
             val job = f.meant.job!!
@@ -253,7 +253,7 @@
         @Parameters(paramLabel = "JOB", arity = "0..1", description = ["a job"]) id: String?,
         @Mixin server: ServerOptions,
     ): Int =
-        reporting {
+        withErrorReporting {
             if (id == null) printJobs(server) else printJob(server, id)
         }
 
@@ -305,7 +305,7 @@
         @Mixin server: ServerOptions,
         @Option(names = ["--purge"], description = ["forget it"]) purge: Boolean,
     ): Int =
-        reporting {
+        withErrorReporting {
             val r = server.ask("DELETE", "/v1/job/${ServerOptions.code(id)}?purge=$purge")
             if (r.status != 200) return ServerOptions.refused(r)
             println("$id: stopped at modify index ${Json.readObject(r.body).path("JobModifyIndex").asLong()}")
@@ -326,7 +326,7 @@
             description = ["json, native, local or rules (default: \${DEFAULT-VALUE})"],
         ) to: String,
     ): Int =
-        reporting {
+        withErrorReporting {
             if (to !in FORMS) return complain("--to is one of ${FORMS.joinToString()}", Status.USAGE)
             val f = o.read()
             if (!o.good(f)) return Status.FAILED
--- a/src/main/kotlin/org/honeyjunction/app/nomad/NativeStatus.kt
+++ b/src/main/kotlin/org/honeyjunction/app/nomad/NativeStatus.kt
@@ -32,7 +32,7 @@
 
     /** At the leader: what it knows. */
     fun answer(r: Request): Response {
-        val driver = node.certainLeader ?: return Response(503, retryAfterS = 1)
+        val driver = node.driverWithLease ?: return Response(503, retryAfterS = 1)
         return if (r.path == MACHINES) {
             Response(200, machines(driver.leader.state.machines))
         } else {
@@ -45,7 +45,7 @@
     }
 
     private fun tasks(ids: List<String>): ByteArray {
-        val state = node.certainLeader?.leader?.state
+        val state = node.driverWithLease?.leader?.state
         val o = Json.obj()
         var left = MOST_TASKS
         for (id in ids) {
@@ -89,7 +89,7 @@
 
     private suspend fun ask(path: String, body: ByteArray): ObjectNode? {
         val r = Request(if (path == MACHINES) "GET" else "POST", path, body)
-        val answer = if (node.isLeader) answer(r) else node.users.forward(r)
+        val answer = if (node.isLeader) answer(r) else node.jobApi.forward(r)
         return answer?.takeIf { it.status == 200 }?.let { Json.readObject(it.body) }
     }
 
--- a/src/test/kotlin/org/honeyjunction/app/CancellationDuringHandoverTest.kt
+++ b/src/test/kotlin/org/honeyjunction/app/CancellationDuringHandoverTest.kt
@@ -20,7 +20,7 @@
         val leader =
             (0 until FaultyStateServiceCluster.NODES)
                 .firstNotNullOfOrNull { n ->
-                    node(n)?.certainLeader?.takeIf { it.term.number == term }
+                    node(n)?.driverWithLease?.takeIf { it.term.number == term }
                 }?.leader
                 ?: return Moment.BEING_READ
         return if (leader.state.machines.any { it.lease.fenced }) Moment.HELD else Moment.BEFORE_A_REPORT
--- a/src/test/kotlin/org/honeyjunction/app/StatusConsistencyTest.kt
+++ b/src/test/kotlin/org/honeyjunction/app/StatusConsistencyTest.kt
@@ -161,7 +161,7 @@
             assertEquals(if (job.word == StatusConsistencyUsers.Word.DONE) JobStage.DONE else JobStage.CANCELLED, stage, job.spec.id)
         }
         assertEquals(0, store.range("j/", null, 1_000).first.size, "the next leader reads no job that is over")
-        val leader = p.cluster.controllers.nodes.firstNotNullOf { it.certainLeader }.leader
+        val leader = p.cluster.controllers.nodes.firstNotNullOf { it.driverWithLease }.leader
         assertEquals(0, leader.state.active.size)
         assertEquals(
             emptyList<String>(),
--- a/src/test/kotlin/org/honeyjunction/timeline/TimelineTest.kt
+++ b/src/test/kotlin/org/honeyjunction/timeline/TimelineTest.kt
@@ -87,7 +87,7 @@
     fun `events of an earlier version are known and shown as written`(written: String, event: String) {
         val entry = log("a", "1000 7 $written").single()
         assertEquals(event, entry.event)
-        val command = TimelineCommand().also { it.events = true }
+        val command = TimelineCommand().also { it.eventsOnly = true }
         val shown = Timeline.merge(listOf(listOf(entry))).flatMap { command.render(it) }
         assertEquals(listOf("  1970-01-01T00:00:01Z±100 a t7 INFO X - $written"), shown)
     }
