--- a/src/main/kotlin/org/honeyjunction/app/LeaderDriver.kt
+++ b/src/main/kotlin/org/honeyjunction/app/LeaderDriver.kt
@@ -26,12 +26,16 @@
 import java.io.IOException
 
 /**
- * Drives a [Leader] for one term: executes its effects, reports their outcomes to it, and runs its periodic work. The leader
- * decides and does no input or output; this class does all of it, on one event loop. Times are steady milliseconds.
+ * Drives a [Leader] for one term: executes the leader's effects, reports their outcomes to it, and runs its periodic work. The
+ * leader only decides; this class does all input and output for it, on one event loop. Times are monotonic, in milliseconds.
  *
- * [onTermLost]: another node leads, or may lead. [onFailure]: an unexpected exception stopped a part of the driver, so the
- * term must not go on. [nodeStatistics]: the rest of the node's figures for the log. [recordPlacement]: null where terminal
- * records are always written to their own keys.
+ * @property term the term that this driver was started for
+ * @property leader the scheduler state and its decisions
+ * @param onTermLost called with a reason when another node leads, or may lead
+ * @param onFailure called with a reason when an unexpected exception stopped a coroutine of the term; the term must then end
+ * @param nodeStatistics the node's own part of the `leader-statistics` log line
+ * @param recordPlacement null if terminal records are always written to their own keys
+ * @param demandExceedsCapacity whether users submit more jobs than can be recorded
  */
 class LeaderDriver(
     val term: Term,
@@ -55,16 +59,16 @@
     private val instances = InstanceManager(context, cloud)
     private val pendingCancellations = HashMap<String, MutableList<CompletableDeferred<JobStage>>>()
 
-    /** This node is certain to be the only leader: what it has in memory can't be older than what any other node knows. */
+    /** Whether this node certainly holds the leader lease. While it does, no other node can have a more recent state in memory. */
     val holdsLease: Boolean get() = scope.isActive && leader.mayExecute(clock.steady(), needsLease = true)
 
-    /** Starts the term's work; jobs are followed from the revision [jobsFrom]. */
+    /** Starts the term's work; changes of job records are followed from the revision [jobsFrom]. */
     fun start(jobsFrom: Long) {
         leader.leaderLeaseRenewed(term.validUntil, clock.steady())
         launchInTerm("the leader's tick") { tickPeriodically() }
         launchInTerm("following jobs") { JobFollower(context, state).followJobs(jobsFrom) }
         launchInTerm("listing machines") { instances.listMachines() }
-        launchInTerm("the statistics") { logStatistics() }
+        launchInTerm("logging statistics") { logStatistics() }
         if (recordPlacement != null) {
             launchInTerm("moving terminal records") { TerminalRecordMover(context, state, recordPlacement).moveAll() }
         }
@@ -84,13 +88,13 @@
         }
     }
 
-    /** The leader lease is valid until [until]. */
+    /** Records that the leader lease was renewed and is valid until [until]. */
     fun leaseRenewed(until: Long) {
         leader.leaderLeaseRenewed(until, clock.steady())
         executeEffects()
     }
 
-    /** Ends the term's work. Cancellations that are not known to be durable fail, so that their callers retry. */
+    /** Ends the term's work. Pending cancellations whose outcome is not known to be durable fail, so that their callers retry. */
     fun stop() {
         scope.cancel()
         pendingCancellations.values.flatten().forEach { it.completeExceptionally(IOException("the term is over")) }
@@ -98,15 +102,15 @@
         commands.close()
     }
 
-    /** Starts the effects that the leader has asked for since the last call, in their order. */
+    /** Executes the effects that the leader has queued since the last call, in order. */
     fun executeEffects() {
         for (effect in leader.drainEffects()) execute(effect)
     }
 
     private fun execute(effect: Effect) {
         when (effect) {
-            is Effect.Commit -> launchInTerm("a write") { commits.commit(effect) }
-            is Effect.Send -> launchInTerm("commands to ${effect.machine}") { commands.sendCommands(effect) }
+            is Effect.Commit -> launchInTerm("writing to the state service") { commits.commit(effect) }
+            is Effect.Send -> launchInTerm("sending commands to ${effect.machine}") { commands.sendCommands(effect) }
             is Effect.ScaleOut -> launchInTerm("scaling out") { instances.scaleOut(effect) }
             is Effect.ScaleIn -> launchInTerm("scaling in") { instances.scaleIn(effect) }
             is Effect.ReadJobRecord -> launchInTerm("reading the record of ${effect.job}") { records.read(effect.job) }
@@ -116,7 +120,10 @@
         }
     }
 
-    /** Cancels a job. The result completes with its terminal stage once that is durable; null for a job that the leader has not seen. */
+    /**
+     * Cancels the job [id]. The result completes with the job's terminal stage once that stage is durable; null if the leader
+     * does not know the job.
+     */
     fun cancel(id: String): CompletableDeferred<JobStage>? {
         val stage = leader.cancel(id, clock.steady()) ?: return null
         val result = CompletableDeferred<JobStage>()
--- a/src/main/kotlin/org/honeyjunction/app/Leadership.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Leadership.kt
@@ -14,8 +14,8 @@
 import java.io.IOException
 
 /**
- * This node's part in the leader election: it campaigns, leads a term that it won while the lease lasts, and steps down.
- * [driver] is set exactly while this node leads. Used on the event loop only.
+ * This node's part in the leader election: it campaigns, leads each term that it wins for as long as it holds the lease, and steps
+ * down. [driver] is non-null exactly while this node leads. Used on the event loop only.
  */
 internal class Leadership(
     private val node: Node,
@@ -32,11 +32,11 @@
     private val peerConfirmation = PeerLeaseConfirmation(settings.node, node.peers, clock, ::observeTerm)
     private var termStartedAt = Long.MIN_VALUE
 
-    /** Carries out the work of the term that this node leads; null while it leads none. */
+    /** The driver of the term that this node leads; null while this node does not lead. */
     var driver: LeaderDriver? = null
         private set
 
-    /** Looks for the leader again and again, and takes the term where there is none; runs for as long as the node does. */
+    /** Periodically reads who leads, and campaigns for the next term if no node does. Never returns. */
     suspend fun campaign() {
         while (true) {
             try {
@@ -47,19 +47,19 @@
             } catch (e: IOException) {
                 log.debug("election: {}", e.message)
             } catch (e: MalformedException) {
-                log.error("the record of the term can't be read: {}", e.message)
+                log.error("the stored term record is malformed: {}", e.message)
             }
             delay(CAMPAIGN_INTERVAL_MS)
         }
     }
 
-    /** Leads [term] until its lease has ended or this node has stepped down. */
+    /** Leads [term] until its lease expires or this node steps down. */
     private suspend fun lead(term: Term) {
         val wonAt = clock.steady()
         val terminalRecords = if (registry == null) TerminalRecordPlacement(settings.stateLimits.writesPerS) else null
         val recovered = recoverOrResign(term, terminalRecords) ?: return
-        val current = driverOf(term, recovered, terminalRecords)
-        begin(current, recovered.jobsRevision)
+        val current = createDriver(term, recovered, terminalRecords)
+        startTerm(current, recovered.jobsRevision)
         log.info(
             "leader-ready: term {}, state recovered in {} ms: {} jobs, {} machines",
             term.number,
@@ -68,12 +68,12 @@
             recovered.state.machines.size,
         )
         election.keepRenewing(term, { driver === current }, current::leaseRenewed)
-        stepDown("the lease has ended")
+        stepDown("the lease has expired")
     }
 
     /**
-     * Before anything is started it must be known which rules are in force and what runs. Where that can't be read, this node
-     * resigns and the result is null.
+     * Reads the rules in force and the stored state. Both must be known before the leader starts any task, so if either can't be
+     * read, this node resigns [term] and the result is null.
      */
     private suspend fun recoverOrResign(term: Term, terminalRecords: TerminalRecordPlacement?): RecoveredTerm? {
         try {
@@ -83,14 +83,14 @@
         } catch (e: IOException) {
             log.warn("election-refused: term {}: the stored state can't be read: {}", term.number, e.message)
         } catch (e: MalformedException) {
-            // A page that can't be read may name a running task: without it nothing can be started safely.
-            log.error("term {}: {}", term.number, e.message)
+            // An unreadable journal page may name a running task; starting tasks without knowing it could start that task twice.
+            log.error("term {}: malformed stored state: {}", term.number, e.message)
         }
         election.resign(term)
         return null
     }
 
-    private fun driverOf(term: Term, recovered: RecoveredTerm, terminalRecords: TerminalRecordPlacement?): LeaderDriver {
+    private fun createDriver(term: Term, recovered: RecoveredTerm, terminalRecords: TerminalRecordPlacement?): LeaderDriver {
         val leader =
             Leader(
                 settings.cluster,
@@ -112,14 +112,14 @@
             node.state,
             cloud,
             ::stepDown,
-            ::abandon,
+            ::abandonTerm,
             node::requestStatistics,
             terminalRecords,
             node.admission::demandExceedsCapacity,
         )
     }
 
-    private suspend fun begin(current: LeaderDriver, jobsRevision: Long) {
+    private suspend fun startTerm(current: LeaderDriver, jobsRevision: Long) {
         driver = current
         node.admission.startTerm(current.term.number)
         node.writeBudget.startTerm()
@@ -133,20 +133,20 @@
     }
 
     /**
-     * Another controller made [term] of [leader] known ("" where it names none). A leader of an earlier term steps down, and
-     * redirects workers to the new one.
+     * Records that another controller reported [term], led by [leader] ("" if unknown). If this node leads an earlier term, it
+     * steps down, and from then on redirects workers to the new leader.
      */
     fun observeTerm(term: Long, leader: String) {
         val current = driver
         if (current != null && term > current.term.number) {
-            val ofLeader = if (leader.isEmpty()) "" else ", of $leader"
-            stepDown("term $term is known$ofLeader")
+            val ledBy = if (leader.isEmpty()) "" else ", led by $leader"
+            stepDown("a later term $term was observed$ledBy")
         }
         election.observeTerm(term, leader)
         node.leaderLiveness.observeLeader(election.leader, clock.steady())
     }
 
-    /** Answers another leader that asks whether a later term than its own is known here. */
+    /** Answers another leader's request to confirm that this node knows of no later term. */
     fun confirmTerm(request: PeerMessage.TermConfirmationRequest): PeerMessage.TermConfirmation {
         observeTerm(request.term, request.node)
         return peerConfirmation.answer(election.term, node.leaderName)
@@ -163,10 +163,10 @@
     }
 
     /**
-     * An unexpected failure: this node can't carry the term, and must not go on renewing its lease while a part of it stands
-     * still. The other nodes campaign first; this one backs off for longer each time.
+     * Gives up the current term after an unexpected failure. This node must not keep renewing the lease while a part of its
+     * work has stopped. It also backs off, longer after each failure, so that the other nodes campaign first.
      */
-    fun abandon(reason: String) {
+    fun abandonTerm(reason: String) {
         val current = driver ?: return
         candidacy.backOff(termStartedAt)
         stepDown(reason)
@@ -174,15 +174,16 @@
     }
 
     /**
-     * A leader whom no worker reaches resigns: soon when the peer that sent [request] receives heartbeats, and after
-     * [UNREACHABLE_MS] in any case, since all workers may be with an earlier leader that is cut off from everyone else.
+     * Resigns if workers' heartbeats are expected but none reaches this node. It resigns at once if the peer that sent [request]
+     * does receive heartbeats, otherwise [UNREACHABLE_BY_WORKERS_MS] after the term's start, since all workers may still be
+     * sending theirs to an earlier leader that is partitioned from all other controllers.
      */
     fun resignIfUnreachableByWorkers(current: LeaderDriver, request: PeerMessage.SummaryRequest) {
         val now = clock.steady()
         if (node.recentHeartbeats(now) > 0 || !current.leader.expectsHeartbeats(now)) return
-        if (request.heartbeatingWorkers == 0 && now - termStartedAt < UNREACHABLE_MS) return
+        if (request.heartbeatingWorkers == 0 && now - termStartedAt < UNREACHABLE_BY_WORKERS_MS) return
         candidacy.resignedAsUnreachableByWorkers()
-        stepDown("no worker reaches this node; ${request.node} hears ${request.heartbeatingWorkers}")
+        stepDown("no worker reaches this node; ${request.node} receives heartbeats of ${request.heartbeatingWorkers}")
         resign(current.term)
     }
 
@@ -191,8 +192,8 @@
     }
 
     companion object {
-        /** Between two looks at who leads. */
+        /** The interval between two checks of who leads, in milliseconds. */
         const val CAMPAIGN_INTERVAL_MS = 400L
-        private const val UNREACHABLE_MS = 12_000L
+        private const val UNREACHABLE_BY_WORKERS_MS = 12_000L
     }
 }
--- a/src/main/kotlin/org/honeyjunction/app/LogTimestamps.kt
+++ b/src/main/kotlin/org/honeyjunction/app/LogTimestamps.kt
@@ -8,19 +8,19 @@
 import kotlin.math.abs
 
 /**
- * Puts a [HybridTimestamp] before each line that this process writes to standard error, log lines and stack traces alike: the time
- * of day with its error bound, the node and the term. A jump of the time of day against the monotonic clock is logged once, as a
- * line of its own (event `clock-jump`).
+ * Prefixes each line that this process writes to standard error, log lines and stack traces alike, with a [HybridTimestamp]: the
+ * wall-clock time with its error bound, the node and the term. A jump of the wall clock relative to the monotonic clock is logged
+ * once, as a line of its own (event `clock-jump`).
  *
- * @param boundMs the error bound of the time of day in milliseconds (the platform's `skew_ms`)
+ * @param errorBoundMs the error bound of the wall clock in milliseconds (the platform's `skew_ms`)
  */
-class LogTimestamps(private val node: String, private val boundMs: Long, private val clock: Clock, private val out: OutputStream) :
+class LogTimestamps(private val node: String, private val errorBoundMs: Long, private val clock: Clock, private val out: OutputStream) :
     OutputStream() {
-    /** The term that the node holds or knows; set by the node itself. */
+    /** Returns the latest term that the node knows; 0 until the node sets this function. */
     var term: () -> Long = { 0 }
     private var atLineStart = true
 
-    /** Time of day less monotonic time, as last seen without a jump, and the monotonic time of that. */
+    /** Wall-clock time minus monotonic time when the class was created or after the latest jump, and the monotonic time of that. */
     private var wallOffset = clock.wall() - clock.steady()
     private var offsetSince = clock.steady()
 
@@ -32,44 +32,44 @@
     }
 
     @Synchronized
-    override fun write(bytes: ByteArray, from: Int, count: Int) {
-        var at = from
-        while (at < from + count) {
+    override fun write(bytes: ByteArray, offset: Int, length: Int) {
+        var position = offset
+        while (position < offset + length) {
             if (atLineStart) beginLine()
-            val end = (at until from + count).firstOrNull { bytes[it].toInt() == NEWLINE }?.plus(1) ?: (from + count)
-            out.write(bytes, at, end - at)
+            val end = (position until offset + length).firstOrNull { bytes[it].toInt() == NEWLINE }?.plus(1) ?: (offset + length)
+            out.write(bytes, position, end - position)
             atLineStart = bytes[end - 1].toInt() == NEWLINE
-            at = end
+            position = end
         }
     }
 
     override fun flush() = out.flush()
 
     private fun beginLine() {
-        val movedMs = clock.wall() - clock.steady() - wallOffset
-        if (abs(movedMs) > toleratedMs()) {
-            wallOffset += movedMs
+        val jumpMs = clock.wall() - clock.steady() - wallOffset
+        if (abs(jumpMs) > toleranceMs()) {
+            wallOffset += jumpMs
             offsetSince = clock.steady()
-            val jump = "${timestamp()} WARN clock - clock-jump: the time of day moved by $movedMs ms against the steady clock\n"
+            val jump = "${timestamp()} WARN clock - clock-jump: the wall clock moved by $jumpMs ms relative to the monotonic clock\n"
             out.write(jump.toByteArray())
         }
         out.write("${timestamp()} ".toByteArray())
     }
 
-    /** The time of day wanders within its bound, and the monotonic clock drifts by up to a thousandth; beyond both the clock was set. */
-    private fun toleratedMs() = maxOf(2 * boundMs, LEAST_JUMP_MS) + (clock.steady() - offsetSince) / DRIFT
+    /** The difference that the wall clock's error bound and the monotonic clock's drift can explain; a larger one means a clock was set. */
+    private fun toleranceMs() = maxOf(2 * errorBoundMs, MIN_JUMP_MS) + (clock.steady() - offsetSince) / MS_PER_MS_OF_DRIFT
 
-    private fun timestamp() = HybridTimestamp(Instant.ofEpochMilli(clock.wall()), boundMs, node, term())
+    private fun timestamp() = HybridTimestamp(Instant.ofEpochMilli(clock.wall()), errorBoundMs, node, term())
 
     companion object {
         private const val NEWLINE = '\n'.code
-        private const val LEAST_JUMP_MS = 50L
+        private const val MIN_JUMP_MS = 50L
 
-        /** One part in so many by which the monotonic clock may drift. */
-        private const val DRIFT = 1_000
+        /** The monotonic clock may drift by 1 ms in this many milliseconds. */
+        private const val MS_PER_MS_OF_DRIFT = 1_000
 
-        /** From now on each line that is written to standard error gets a timestamp. */
-        fun install(node: String, boundMs: Long, clock: Clock = Clock): LogTimestamps =
-            LogTimestamps(node, boundMs, clock, System.err).also { System.setErr(PrintStream(it, true)) }
+        /** Replaces standard error by a stream that prefixes each line with a timestamp. */
+        fun install(node: String, errorBoundMs: Long, clock: Clock = Clock): LogTimestamps =
+            LogTimestamps(node, errorBoundMs, clock, System.err).also { System.setErr(PrintStream(it, true)) }
     }
 }
--- a/src/main/kotlin/org/honeyjunction/app/MachineTypeRefresh.kt
+++ b/src/main/kotlin/org/honeyjunction/app/MachineTypeRefresh.kt
@@ -9,20 +9,23 @@
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
-/** Keeps the cluster's machine types up to date: the leader asks the cloud and stores the answer, the other nodes read what is stored. */
+/**
+ * Keeps the cluster's machine types up to date. The leader asks the cloud periodically and stores the response in the state
+ * service. The other nodes read the stored response at their start, and ask the cloud themselves only if there is none.
+ */
 internal class MachineTypeRefresh(private val node: Node, private val cloud: CloudClient) {
     private val log = LoggerFactory.getLogger(Node::class.java)
     private val cluster get() = node.settings.cluster
 
-    /** The answer of the cloud that this node stored last. */
+    /** The latest cloud response that this node has stored. */
     private var storedBody = Response.NO_BODY
 
-    /** Runs for as long as the node does. */
+    /** Never returns. */
     suspend fun refreshPeriodically() {
         readStored()
         while (true) {
             try {
-                // One node asks for all; the others read what it stored, unless there is nothing yet.
+                // Only the leader polls the cloud, which limits its request rate; another node does so only while it knows no types.
                 if (node.isLeader || cluster.types.isEmpty()) {
                     val body = cloud.machineTypes()
                     use(body)
@@ -32,7 +35,7 @@
                     }
                 }
             } catch (e: IOException) {
-                log.debug("machine types: {}", e.message)
+                log.debug("refreshing the machine types: {}", e.message)
             }
             delay(if (cluster.types.isEmpty()) RETRY_MS else REFRESH_MS)
         }
@@ -45,7 +48,7 @@
                 .value
                 ?.let { use(Json.write(it)) }
         } catch (e: IOException) {
-            log.debug("stored machine types: {}", e.message)
+            log.debug("reading the stored machine types: {}", e.message)
         }
     }
 
@@ -53,7 +56,7 @@
         try {
             cluster.types.putAll(CloudCodec.types(body, cluster))
         } catch (e: MalformedException) {
-            log.warn("the machine types can't be read: {}", e.message)
+            log.warn("malformed machine types: {}", e.message)
         }
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/Main.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Main.kt
@@ -16,7 +16,7 @@
 import java.util.concurrent.CountDownLatch
 import kotlin.system.exitProcess
 
-/** The program without a command's name: prints its usage. */
+/** The program's top-level command; without a subcommand, prints the usage. */
 @Command(
     name = "honeyjunction",
     mixinStandardHelpOptions = true,
@@ -37,6 +37,7 @@
     synopsisSubcommandLabel = "COMMAND",
 )
 class Main : Callable<Int> {
+    /** Set by picocli. */
     @CommandLine.Spec
     lateinit var spec: CommandLine.Model.CommandSpec
 
@@ -54,39 +55,44 @@
     description = ["Runs one controller of the cluster scheduler."],
     exitCodeListHeading = "Exit status:%n",
     exitCodeList = [
-        "0:the files are good (--check)",
+        "0:the settings files are valid (--check)",
         "2:wrong arguments",
-        "3:a settings file is missing or wrong",
+        "3:a settings file is missing or invalid",
         "4:an address can't be listened on",
     ],
 )
 class Serve : Callable<Int> {
+    /** The file with the platform's settings. */
     @Option(names = ["--config"], paramLabel = "FILE", description = ["the platform's settings file (JSON)"])
     var config: Path? = null
 
+    /** The file with the operators' settings; null for the defaults. */
     @Option(names = ["--operator"], paramLabel = "FILE", description = ["the operators' settings file (JSON)"])
     var operator: Path? = null
 
-    @Option(names = ["--check"], description = ["check the settings files and end"])
+    /** Whether to check the settings files and exit. */
+    @Option(names = ["--check"], description = ["check the settings files and exit"])
     var check = false
 
-    @Option(names = ["--schema"], description = ["print the schema of the operators' settings and end"])
+    /** Whether to print the schema of the operators' settings and exit. */
+    @Option(names = ["--schema"], description = ["print the schema of the operators' settings and exit"])
     var schema = false
 
-    @Option(names = ["--rehearse"], hidden = true, description = ["go through the classes of a start, for the class-data archive"])
-    var rehearse = false
+    /** Whether to run [WarmUp] and exit. */
+    @Option(names = ["--rehearse"], hidden = true, description = ["load the classes that a start needs, for the class-data archive"])
+    var warmUp = false
 
     override fun call(): Int {
         if (schema) {
             println(OperatorSettings.schemaText())
             return Status.OK
         }
-        if (rehearse) return WarmUp.run()
-        val file = config ?: return complain("--config FILE is needed", Status.USAGE)
+        if (warmUp) return WarmUp.run()
+        val file = config ?: return complain("--config FILE is required", Status.USAGE)
         val (settings, tuning, nomad) =
             try {
-                val operators = operator?.let(OperatorSettings::read)
-                Triple(Files.named(file) { Settings.read(file) }, operators?.tuning ?: Tuning(), operators?.nomad)
+                val operatorConfiguration = operator?.let(OperatorSettings::read)
+                Triple(Files.named(file) { Settings.read(file) }, operatorConfiguration?.tuning ?: Tuning(), operatorConfiguration?.nomad)
             } catch (e: MalformedException) {
                 return complain(e.message!!, Status.BAD_FILE)
             } catch (e: IOException) {
@@ -94,7 +100,7 @@
             }
         settings.warnings.forEach { System.err.println("honeyjunction: $file: $it") }
         if (check) {
-            println("$file is good")
+            println("$file is valid")
             return Status.OK
         }
         return serve(settings, tuning, nomad)
@@ -119,8 +125,8 @@
 
 private const val VERSION = "honeyjunction 0.2.0"
 
-/** Logs to standard error at the level in LOG_LEVEL, or at [defaultLevel] where it holds none. */
-private fun setUpLogging(defaultLevel: String) {
+/** Logs to standard error at the level in LOG_LEVEL, or at [defaultLevel] if that names no level. */
+private fun configureLogging(defaultLevel: String) {
     val requested = System.getenv("LOG_LEVEL").orEmpty().lowercase()
     val level = if (requested in setOf("error", "warn", "info", "debug")) requested else defaultLevel
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level)
@@ -128,18 +134,21 @@
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false")
 }
 
-/** A controller's start must not pay for the other commands: where no command is named, only `serve` is set up. */
+/**
+ * Runs the command that [args] name. Options without a command belong to `serve`; then only that command's classes are loaded,
+ * so that a controller starts faster.
+ */
 fun main(args: Array<String>) {
-    val withoutCommand = args.firstOrNull()?.let { it.startsWith("--") && it !in setOf("--help", "--version") } == true
-    val serving = withoutCommand || args.firstOrNull() == "serve"
-    setUpLogging(if (serving) "info" else "error")
-    val command = if (withoutCommand) CommandLine(Serve()).setCommandName("honeyjunction") else CommandLine(Main())
+    val commandOmitted = args.firstOrNull()?.let { it.startsWith("--") && it !in setOf("--help", "--version") } == true
+    val serving = commandOmitted || args.firstOrNull() == "serve"
+    configureLogging(if (serving) "info" else "error")
+    val command = if (commandOmitted) CommandLine(Serve()).setCommandName("honeyjunction") else CommandLine(Main())
     val status =
         command
             .setExecutionExceptionHandler { e, _, _ ->
                 complain("internal error: $e", Status.FAILED)
             }.execute(*args)
-    // A full disk or a closed pipe: the output has not arrived, whatever was done.
+    // On a full disk or a closed pipe the output is lost, so the command has failed even if its work is done.
     val outputLost = System.out.checkError() && status == Status.OK
     exitProcess(if (outputLost) complain("the output can't be written", Status.FAILED) else status)
 }
--- a/src/main/kotlin/org/honeyjunction/app/Node.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Node.kt
@@ -21,8 +21,13 @@
 import java.io.IOException
 
 /**
- * One controller: accepts jobs, places its own, and leads a term when it wins one. This class only wires its parts together;
- * all of them run on [loop], so that none needs a lock.
+ * One controller: it accepts jobs, places the jobs that it accepted, and leads a term when it wins an election. This class only
+ * connects the controller's components; all of them run on [loop], so none needs a lock.
+ *
+ * @property settings the platform's settings
+ * @property tuning the operators' settings of scheduling
+ * @property clock monotonic and wall-clock time
+ * @param nomad the settings of the Nomad-compatible API; null if that API is disabled
  */
 class Node(
     val settings: Settings,
@@ -31,28 +36,49 @@
     val clock: Clock = loop.clock,
     nomad: NomadOptions? = null,
 ) {
+    /** The logger of the controller's components that have none of their own. */
     val log = LoggerFactory.getLogger(Node::class.java)
 
-    // Other services and controllers.
+    // Clients of other services and controllers.
+
+    /** The client of the state service. */
     val state = KeyValueClient(loop, settings.state, settings.stateLimits, clock)
     private val cloud = CloudClient(loop, settings.cloud, settings.cloudRps, clock)
+
+    /** The election of the leader; also knows the latest term and its leader. */
     internal val election = Election(settings.node, state, clock, tuning.leaseMs)
+
+    /** Clients of the other controllers, by name. */
     internal val peers = settings.peers.associate { it.name to PeerClient(loop, it.address) }
+
+    /** Whether the leader has recently answered this node. */
     internal val leaderLiveness = LeaderLiveness(clock.steady())
+
+    /** Which other services and controllers this node has recently been in contact with. */
     internal val reachability = Reachability(clock, election)
 
-    // What users and operators ask for.
+    // Requests of users and operators.
+
+    /** Decides which submitted jobs are admitted. */
     val admission = AdmissionService(this)
+
+    /** The HTTP API for jobs. */
     val jobApi = JobApi(this)
+
+    /** The operators' rules; null if rules are disabled. */
     val rules = if (tuning.rules) RulesStore(this, ::useRules) else null
     private val rulesApi = rules?.let { RulesApi(this, it) }
     private val nativeStatus = NativeStatus(this)
     private val registry = nomad?.takeIf { it.on }?.let { NomadRegistry(this, it) }
     private val nomadServer = registry?.let { createNomadServer(it) }
 
-    // Leading, and following a leader.
+    // Leader election, and the work of leaders and followers.
     private val candidacy = Candidacy(clock)
+
+    /** This node's share of the writes that the state service allows. */
     internal val writeBudget = WriteBudget(this)
+
+    /** This node's part in the leader election. */
     internal val leadership = Leadership(this, loop, cloud, registry, candidacy)
     private val followerRounds = FollowerRounds(this)
     private val machineTypes = MachineTypeRefresh(this, cloud)
@@ -70,21 +96,22 @@
             router::handle,
         )
 
+    /** The scope of coroutines that run for as long as the node does. */
     val scope get() = loop.scope
 
-    /** This node leads a term; it may have lost the lease without knowing so yet, see [driverWithLease]. */
+    /** Whether this node leads a term. It may already have lost the lease without having noticed; see [driverWithLease]. */
     val isLeader: Boolean get() = leadership.driver != null
 
-    /** The driver of this node's term while it is sure to hold the leader lease. */
+    /** The driver of this node's term while this node certainly holds the leader lease; otherwise null. */
     val driverWithLease: LeaderDriver? get() = leadership.driver?.takeIf { it.holdsLease }
 
-    /** The latest term that this node knows of. */
+    /** The latest term that this node knows. */
     val knownTerm: Long get() = election.term
 
-    /** The leader as far as this node knows. */
+    /** The name of the leader as far as this node knows; null if it knows none. */
     val leaderName: String? get() = if (isLeader) settings.node else election.leader
 
-    /** Another node leads, as far as this node knows, and has answered it lately. */
+    /** Whether another node leads, as far as this node knows, and has answered this node recently. */
     val isLeaderReachable: Boolean
         get() {
             if (isLeader) return false
@@ -92,29 +119,32 @@
             return liveLeader != null && liveLeader != settings.node
         }
 
-    /** How long the state service has not answered this node, in milliseconds; 0 while it does. */
+    /** How long the state service has not answered this node, in milliseconds; 0 if it answered recently. */
     val outageMs: Long get() = reachability.outageMs
 
-    /** The state service answers the leader, but not this node. */
+    /** Whether the state service answers the leader, but not this node. */
     val refusedByStateService: Boolean get() = reachability.refusedByStateService
 
-    /** Too many writes or tasks wait already: another job would not be answered in time, or not fit into memory. */
+    /** Whether too many writes or tasks are pending to accept a job: it would not be answered in time, or not fit into memory. */
     val overloaded: Boolean get() = state.congested || leadership.driver?.leader?.taskLimitReached ?: false
 
-    /** Jobs that wait beside free machines for longer than they should, as the leader counts them. */
+    /** Jobs that have been pending for too long although there is free capacity for them; empty on a node that does not lead. */
     val stalledJobs: List<StalledJob> get() = driverWithLease?.leader?.stalledJobs(clock.steady()).orEmpty()
 
-    /** Classes and teams of which less than half were served beside free machines, as the leader counts them. */
+    /**
+     * Classes and teams of whose jobs fewer than half were started although there was free capacity; empty on a node that does
+     * not lead.
+     */
     val starvedGroups: Map<FairnessGroup, ServedCount> get() = driverWithLease?.leader?.starvedGroups(clock.steady()).orEmpty()
 
-    /** Listens on the node's addresses and starts its loops; throws [IOException] where an address can't be listened on. */
+    /** Listens on the node's addresses and starts its periodic work; throws [IOException] if it can't listen on an address. */
     fun start() {
         PeerServer(loop, peerRequests::answer).listen(settings.peerListen)
         server.listen(settings.listen)
         loop.scope.supervise("machine types", clock) { machineTypes.refreshPeriodically() }
-        loop.scope.supervise("election", clock, { leadership.abandon("the election failed") }) { leadership.campaign() }
+        loop.scope.supervise("election", clock, { leadership.abandonTerm("the election failed") }) { leadership.campaign() }
         loop.scope.supervise("rounds", clock) { followerRounds.placePeriodically() }
-        loop.scope.supervise("shares of the writes", clock) { writeBudget.adjustPeriodically() }
+        loop.scope.supervise("write shares", clock) { writeBudget.adjustPeriodically() }
         rules?.let { loop.scope.supervise("rules", clock) { it.follow() } }
         if (registry != null && nomadServer != null) {
             nomadServer.listen(registry.options.listen)
@@ -123,21 +153,21 @@
         log.info("node-started: {} listens on {}", settings.node, settings.listen)
     }
 
-    /** The leader's answer to [question]; null where no leader is known or it does not answer within [timeoutMs]. */
+    /** The leader's response to [question]; null if no leader is known or the leader does not answer within [timeoutMs]. */
     suspend fun askLeader(question: PeerMessage, timeoutMs: Long): PeerMessage? {
         val peer = election.leader?.let(peers::get) ?: return null
         return try {
             peer.ask(question, timeoutMs).also { reachability.peerContacted() }
         } catch (e: IOException) {
-            log.debug("leader: {}", e.message)
+            log.debug("no response of the leader: {}", e.message)
             null
         }
     }
 
-    /** The number of heartbeats that reached this node within the last seconds before [now]. */
+    /** The number of workers' heartbeats that this node received in the last seconds before [now]. */
     internal fun recentHeartbeats(now: Long): Int = heartbeats.recent(now)
 
-    /** For the periodic statistics of a leader. */
+    /** Statistics of this node's requests, for the leader's periodic log line. */
     internal fun requestStatistics(): String = "${server.statistics}; ${jobApi.statistics()}; ${admission.statistics()}"
 
     private fun useRules(stored: StoredRules) {
@@ -150,7 +180,7 @@
     }
 
     private companion object {
-        /** Parts of the process's sockets. */
+        /** The fraction of the process's sockets that each HTTP server may use. */
         const val SOCKET_SHARE = 0.7
         const val NOMAD_SOCKET_SHARE = 0.1
     }
--- a/src/main/kotlin/org/honeyjunction/app/OperatorClient.kt
+++ b/src/main/kotlin/org/honeyjunction/app/OperatorClient.kt
@@ -12,13 +12,13 @@
 import org.honeyjunction.wire.Response
 import java.io.IOException
 
-/** Asks controllers on behalf of an operator: the first of [addresses] that answers, with retries while it is unavailable or throttles. */
+/** Sends an operator's requests to controllers: to each of [addresses] in turn, with retries, until one answers neither 503 nor 429. */
 class OperatorClient(private val addresses: List<String>) {
-    /** The first answer; throws [IOException] with a message of one line when no controller gives one within some seconds. */
+    /** The first response that is neither 503 nor 429; throws [IOException] with a one-line message if all attempts fail. */
     fun ask(method: String, path: String, body: ByteArray = Response.NO_BODY): Response =
         EventLoop().use { loop ->
             runBlocking {
-                var lastError = "nobody answers"
+                var lastError = "no controller answers"
                 repeat(ATTEMPTS) { attempt ->
                     for (address in addresses) {
                         try {
@@ -27,7 +27,7 @@
                                     HttpClient(Connections(loop, most = 1), address).send(method, path, body, TIMEOUT_MS)
                                 }
                             if (response.status != 503 && response.status != 429) return@runBlocking response
-                            lastError = "$address says to come back: ${reason(response)}"
+                            lastError = "$address is unavailable for now: ${reason(response)}"
                         } catch (e: IOException) {
                             lastError = e.message ?: "$address does not answer"
                         }
@@ -43,11 +43,14 @@
         private const val RETRY_MS = 1_000L
         private const val TIMEOUT_MS = 5_000L
 
-        /** A client of the addresses in [text], the value of --at; throws [IllegalArgumentException] where one is invalid. */
+        /**
+         * A client for the comma-separated addresses in [text], the value of `--at`; throws [IllegalArgumentException] if one is
+         * invalid.
+         */
         fun at(text: String): OperatorClient =
             OperatorClient(text.split(',').map { it.trim().removePrefix("http://").removeSuffix("/") }.onEach { socketAddress(it) })
 
-        /** The error that [response] names, or else its status. */
+        /** Why a request failed: the error message in the body of [response], or its status if the body has none. */
         fun reason(response: Response): String =
             try {
                 Json.readObject(response.body).get("error")?.textValue() ?: "status ${response.status}"
@@ -57,7 +60,7 @@
     }
 }
 
-/** Runs a command that reads files and asks controllers: an error is printed in one line and becomes its documented exit status. */
+/** Runs a command that reads files and asks controllers. An error is printed as one line and mapped to its documented exit status. */
 inline fun withErrorReporting(run: () -> Int): Int =
     try {
         run()
--- a/src/main/kotlin/org/honeyjunction/app/OperatorSettings.kt
+++ b/src/main/kotlin/org/honeyjunction/app/OperatorSettings.kt
@@ -11,41 +11,47 @@
 import org.honeyjunction.wire.given
 import java.nio.file.Path
 
-/** The operators' settings; [nomad] is null where the file has no settings of the interface for job files. */
-class Operators(val tuning: Tuning, val nomad: NomadOptions?)
+/**
+ * The content of the operators' settings file.
+ *
+ * @property tuning the settings of scheduling
+ * @property nomad the settings of the Nomad-compatible API; null if the file has none
+ */
+class OperatorConfiguration(val tuning: Tuning, val nomad: NomadOptions?)
 
-/** The operators' own settings: JSON, checked against the published schema. */
+/** Reads the operators' settings file: JSON that is validated against the published schema. */
 object OperatorSettings {
-    /** The resource that holds the schema. */
+    /** The name of the resource with the schema. */
     const val SCHEMA = "operator-settings.schema.json"
 
+    /** The JSON schema of the settings file. */
     fun schemaText(): String = checkNotNull(javaClass.classLoader.getResource(SCHEMA)).readText()
 
-    /** The settings in [file]; throws [MalformedException] with the file's name in front, or [BadFileException]. */
-    fun read(file: Path): Operators = Files.json(file, "") { Operators(parse(it), nomad(it)) }
+    /** The settings in [file]; throws [MalformedException] with the file's name before the error, or [BadFileException]. */
+    fun read(file: Path): OperatorConfiguration = Files.json(file, "") { OperatorConfiguration(parse(it), nomad(it)) }
 
-    /** The settings of scheduling in [settings], defaults where it has none; throws [MalformedException] with all faults. */
+    /** The scheduling settings in [settings], with defaults for those that are missing; throws [MalformedException] with all errors. */
     fun parse(settings: JsonNode): Tuning {
         val schema = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(schemaText())
-        val faults = schema.validate(settings)
-        if (faults.isNotEmpty()) throw MalformedException(faults.joinToString("; ") { it.message })
+        val errors = schema.validate(settings)
+        if (errors.isNotEmpty()) throw MalformedException(errors.joinToString("; ") { it.message })
         val defaults = Tuning()
         val rules = settings.given("rules")
         return defaults.copy(
-            placementIntervalMs = settings.ms("round_ms", defaults.placementIntervalMs),
-            summaryWaitMs = settings.ms("summary_ms", defaults.summaryWaitMs),
-            capacityPlanIntervalMs = settings.ms("capacity_ms", defaults.capacityPlanIntervalMs),
-            idleMs = settings.ms("idle_ms", defaults.idleMs),
+            placementIntervalMs = settings.integer("round_ms", defaults.placementIntervalMs),
+            summaryWaitMs = settings.integer("summary_ms", defaults.summaryWaitMs),
+            capacityPlanIntervalMs = settings.integer("capacity_ms", defaults.capacityPlanIntervalMs),
+            idleMs = settings.integer("idle_ms", defaults.idleMs),
             spareFactor = settings.number("spare_factor", defaults.spareFactor),
-            forecastMs = settings.ms("forecast_ms", defaults.forecastMs),
-            preemptAfterMs = settings.ms("preempt_after_ms", defaults.preemptAfterMs),
-            refusedOfferBackoffMs = settings.ms("refusal_ms", defaults.refusedOfferBackoffMs),
-            ownerTimeoutMs = settings.ms("lapse_ms", defaults.ownerTimeoutMs),
-            leaseMs = settings.ms("lease_ms", defaults.leaseMs),
-            maxTasks = settings.ms("max_tasks", defaults.maxTasks.toLong()).toInt(),
+            forecastMs = settings.integer("forecast_ms", defaults.forecastMs),
+            preemptAfterMs = settings.integer("preempt_after_ms", defaults.preemptAfterMs),
+            refusedOfferBackoffMs = settings.integer("refusal_ms", defaults.refusedOfferBackoffMs),
+            ownerTimeoutMs = settings.integer("lapse_ms", defaults.ownerTimeoutMs),
+            leaseMs = settings.integer("lease_ms", defaults.leaseMs),
+            maxTasks = settings.integer("max_tasks", defaults.maxTasks.toLong()).toInt(),
             rules = rules?.given("on")?.booleanValue() ?: defaults.rules,
-            explainMs = rules?.ms("explain_ms", defaults.explainMs) ?: defaults.explainMs,
-            explainTasks = rules?.ms("explain_tasks", defaults.explainTasks.toLong())?.toInt() ?: defaults.explainTasks,
+            explainMs = rules?.integer("explain_ms", defaults.explainMs) ?: defaults.explainMs,
+            explainTasks = rules?.integer("explain_tasks", defaults.explainTasks.toLong())?.toInt() ?: defaults.explainTasks,
             cost = cost(settings.given("cost"), rules, defaults.cost),
         )
     }
@@ -59,10 +65,10 @@
             cost.number("packing", defaults.packing),
             cost.number("aging_per_s", defaults.agingPerS),
             cost.number("max_columns", defaults.maxColumns.toDouble()).toInt(),
-            rules?.ms("patience_ms", defaults.patienceMs) ?: defaults.patienceMs,
+            rules?.integer("patience_ms", defaults.patienceMs) ?: defaults.patienceMs,
         )
 
-    /** The settings of the interface for job files; null where the file has none. */
+    /** The settings of the Nomad-compatible API; null if the file has none. */
     private fun nomad(settings: ObjectNode): NomadOptions? {
         val options = settings.given("nomad") ?: return null
         val defaults = NomadOptions()
@@ -72,11 +78,11 @@
             options.number("mhz_per_core", defaults.mhzPerCore),
             options.given("team")?.textValue(),
             options.given("production")?.mapNotNull { it.textValue() } ?: defaults.production,
-            options.ms("max_waiting", defaults.maxWaiting.toLong()).toInt(),
+            options.integer("max_waiting", defaults.maxWaiting.toLong()).toInt(),
         )
     }
 
-    private fun JsonNode.ms(name: String, otherwise: Long) = given(name)?.longValue() ?: otherwise
+    private fun JsonNode.integer(name: String, default: Long) = given(name)?.longValue() ?: default
 
-    private fun JsonNode?.number(name: String, otherwise: Double) = this?.given(name)?.doubleValue() ?: otherwise
+    private fun JsonNode?.number(name: String, default: Double) = this?.given(name)?.doubleValue() ?: default
 }
--- a/src/main/kotlin/org/honeyjunction/app/PeerLeaseConfirmation.kt
+++ b/src/main/kotlin/org/honeyjunction/app/PeerLeaseConfirmation.kt
@@ -10,10 +10,11 @@
 import java.io.IOException
 
 /**
- * Peer lease confirmation: a leader announces its term to every other controller until each has answered. While its own lease
- * with the state service proves nothing, it goes on asking them to confirm that no later term is known, see
- * [org.honeyjunction.core.lease.RenewalBound]. [laterTermObserved] is called with a later term and its leader ("" where that
- * is not known).
+ * Confirms a leader's term with the other controllers. A new leader announces its term to each of them until that controller has
+ * answered. While the leader does not hold a valid lease from the state service, it keeps asking them to confirm that they know
+ * of no later term, see [org.honeyjunction.core.lease.RenewalBound].
+ *
+ * @param laterTermObserved called with a later term that a controller reports, and that term's leader ("" if unknown)
  */
 class PeerLeaseConfirmation(
     private val node: String,
@@ -24,10 +25,10 @@
     private val log = LoggerFactory.getLogger(PeerLeaseConfirmation::class.java)
     private val startedAt = clock.steady()
 
-    /** This node's answer to a leader that asks: the latest term and leader known here, and how long this process has been up. */
+    /** This node's response to a leader's confirmation request: the latest [term] and [leader] it knows, and its process's uptime. */
     fun answer(term: Long, leader: String?) = PeerMessage.TermConfirmation(term, leader.orEmpty(), clock.steady() - startedAt)
 
-    /** Runs while this node leads the term of [driver]. */
+    /** Confirms the term of [driver] with all peers until the caller is cancelled at the end of the term. */
     suspend fun run(driver: LeaderDriver) =
         coroutineScope {
             for ((name, peer) in peers) launch { confirmWith(name, peer, driver) }
--- a/src/main/kotlin/org/honeyjunction/app/PeerRequests.kt
+++ b/src/main/kotlin/org/honeyjunction/app/PeerRequests.kt
@@ -12,6 +12,7 @@
     private val clock = node.clock
     private val leadership = node.leadership
 
+    /** The response to [message]. */
     suspend fun answer(message: PeerMessage): PeerMessage =
         when (message) {
             is PeerMessage.SummaryRequest -> summary(message)
@@ -38,18 +39,18 @@
         val driver = leadership.driver ?: return notLeader()
         val writesPerS = node.writeBudget.allocateShare(request.node, request.queuedWrites)
         val summary = summaryFor(driver, request.node)
-        // The plan is made last: it counts as in force from now on.
+        // The quota plan is made last, since its validity starts when it is made and summaryFor may wait.
         val plan = node.admission.planFor(request.node, request.demand, request.planEpoch, request.grantedPerS) ?: QuotaPlan.NONE
         return PeerMessage.SummaryResponse(driver.term.number, driver.holdsLease, plan, writesPerS, summary)
     }
 
-    /** Answers as soon as there is something to place, so that a new job need not wait for the next request. */
+    /** Waits until there are tasks to place, up to `summaryWaitMs`, so that a new job need not wait for the next request of [peer]. */
     private suspend fun summaryFor(driver: LeaderDriver, peer: String): Summary {
         val until = clock.steady() + node.tuning.summaryWaitMs
         while (true) {
             val summary = driver.leader.summaryFor(peer, clock.steady())
             if (summary.rows.isNotEmpty() || clock.steady() >= until || leadership.driver !== driver) return summary
-            delay(SUMMARY_STEP_MS)
+            delay(SUMMARY_POLL_MS)
         }
     }
 
@@ -72,6 +73,6 @@
     }
 
     private companion object {
-        const val SUMMARY_STEP_MS = 60L
+        const val SUMMARY_POLL_MS = 60L
     }
 }
--- a/src/main/kotlin/org/honeyjunction/app/RecentEventCounter.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RecentEventCounter.kt
@@ -1,13 +1,13 @@
 package org.honeyjunction.app
 
-/** Counts the events of the last [windowMs] milliseconds, up to [MAX]. */
+/** Counts events within a sliding window of [windowMs] milliseconds; the count is capped at [MAX_EVENTS]. */
 class RecentEventCounter(private val windowMs: Long) {
     private val times = ArrayDeque<Long>()
 
-    /** Records an event at [now], in steady milliseconds. */
+    /** Records an event at [now], in monotonic milliseconds. */
     fun record(now: Long) {
         times.addLast(now)
-        if (times.size > MAX) times.removeFirst()
+        if (times.size > MAX_EVENTS) times.removeFirst()
     }
 
     /** The number of events within the window that ends at [now]. */
@@ -17,6 +17,6 @@
     }
 
     private companion object {
-        const val MAX = 1_000
+        const val MAX_EVENTS = 1_000
     }
 }
--- a/src/main/kotlin/org/honeyjunction/app/RequestRouter.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RequestRouter.kt
@@ -5,14 +5,14 @@
 import org.honeyjunction.wire.Request
 import org.honeyjunction.wire.Response
 
-/** Routes HTTP requests by their path to whatever answers them. */
+/** Routes HTTP requests to their handlers by path. */
 internal class RequestRouter(
     private val node: Node,
     private val heartbeats: HeartbeatEndpoint,
     private val nativeStatus: NativeStatus,
     private val rulesApi: RulesApi?,
 ) {
-    /** A request that came to this node over HTTP. */
+    /** Handles a request that this node received over HTTP. */
     suspend fun handle(request: Request): Response =
         when (request.path) {
             "/up" -> if (request.method == "GET") readiness() else Response(405)
@@ -20,7 +20,7 @@
             else -> if (request.body.size > HttpLimits().body) Response(413) else route(request, forwarded = false)
         }
 
-    /** What users and operators ask, here or with [forwarded] through another controller. */
+    /** Handles a request of a user or an operator; [forwarded]: another controller received the request and forwarded it. */
     suspend fun route(request: Request, forwarded: Boolean): Response =
         when {
             forwarded && nativeStatus.handles(request.path) -> nativeStatus.answer(request)
@@ -29,7 +29,10 @@
             else -> node.jobApi.handle(request, forwarded)
         }
 
-    /** Ready to take requests: knows the machine types, and is not cut off from the state service and every other controller. */
+    /**
+     * The readiness probe: 200 if this node knows the machine types and is not cut off from both the state service and all other
+     * controllers, otherwise 503.
+     */
     private fun readiness(): Response {
         val reachability = node.reachability
         val cutOff =
--- a/src/main/kotlin/org/honeyjunction/app/RulesApi.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RulesApi.kt
@@ -12,11 +12,12 @@
 import org.honeyjunction.wire.given
 import java.io.IOException
 
-/** The HTTP API of the operators' rules, and of explanations of placements. Enabled by the operators' settings. */
+/** The HTTP API for the operators' rules and for explanations of placements. Enabled in the operators' settings. */
 class RulesApi(private val node: Node, private val store: RulesStore) {
+    /** Whether requests for [path] belong to this API. */
     fun handles(path: String) = path == RULES_PATH || path == VERSION_PATH || path.endsWith(EXPLAIN_SUFFIX)
 
-    /** [forwarded]: by another controller, so it is not forwarded again. */
+    /** Handles a request; if [forwarded], another controller sent it, so this node does not forward it again. */
     suspend fun handle(request: Request, forwarded: Boolean = false): Response =
         try {
             when {
@@ -39,13 +40,13 @@
         return Response(200, Json.write(body))
     }
 
-    /** The version by which this node places as the leader; -1 where it is not certain to lead. */
+    /** The version of the rules that this node applies as the leader; -1 if this node does not certainly lead. */
     private fun versionInForce(): Response {
         val version = node.driverWithLease?.leader?.rulesVersion ?: NOT_LEADING
         return Response(200, Json.write(Json.obj().put("version", version)))
     }
 
-    /** The version by which the leader places; null where it can't be asked. */
+    /** The version of the rules that the leader applies; null if the leader does not answer. */
     private suspend fun leaderVersion(): Long? {
         node.driverWithLease?.let { return it.leader.rulesVersion }
         val response = node.jobApi.forward(Request("GET", VERSION_PATH, Response.NO_BODY)) ?: return null
@@ -77,7 +78,10 @@
 
     private fun ObjectNode.putTexts(name: String, texts: List<String>) = apply { putArray(name).apply { texts.forEach(::add) } }
 
-    /** Explains the placement of one task, or of all tasks of a job; the leader that placed them keeps the explanations. */
+    /**
+     * Explains the placement of one task, or of up to [MAX_TASKS] tasks of a job. Only the leader that placed the tasks has the
+     * explanations.
+     */
     private suspend fun explain(request: Request, forwarded: Boolean): Response {
         val subject = request.path.removePrefix(JobApi.JOBS_PATH).removePrefix("/").removeSuffix(EXPLAIN_SUFFIX)
         val id = subject.substringBefore('/')
@@ -107,13 +111,18 @@
     }
 
     companion object {
+        /** The path of the rules: GET shows them, POST applies new ones. */
         const val RULES_PATH = "/v2/rules"
+
+        /** The path at which a leader reports the version of the rules that it applies; used between controllers. */
         const val VERSION_PATH = "/v2/rules/version"
+
+        /** The end of the paths of explanations, after the path of a job or task. */
         const val EXPLAIN_SUFFIX = "/explain"
         private const val MAX_TASKS = 200
         private const val NOT_LEADING = -1L
 
-        /** The response where rules are disabled. */
+        /** The response to requests for this API if the operators' settings disable rules. */
         fun disabled(): Response = Response(404, Json.error("rules are switched off here: see deploy/rules.json"))
     }
 }
--- a/src/main/kotlin/org/honeyjunction/app/RulesCommand.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RulesCommand.kt
@@ -16,44 +16,45 @@
 import picocli.CommandLine.Parameters
 import java.nio.file.Path
 
-private const val AT = "127.0.0.1:8080"
+private const val DEFAULT_ADDRESSES = "127.0.0.1:8080"
 
 /** The command `rules`: checks, applies and shows the operators' rules. */
 @Command(
     name = "rules",
     mixinStandardHelpOptions = true,
-    description = ["Checks, applies and shows operators' rules; docs/rules.md has the language."],
+    description = ["Checks, applies and shows operators' rules; docs/rules.md describes the language."],
     exitCodeListHeading = "Exit status:%n",
     exitCodeList = [
-        "0:good, or done",
-        "1:the rules are wrong, or somebody else's came first",
+        "0:the rules are valid, or the command succeeded",
+        "1:the rules are invalid, or a concurrent change was applied first",
         "2:wrong arguments",
-        "3:a file is missing or is not what it should be",
+        "3:a file is missing or invalid",
         "5:no controller answers",
     ],
 )
 class RulesCommand {
     private fun document(file: Path, topology: Path?): RulesDocument {
-        val tree = topology?.let { Files.json(it, "") { o -> o } }
+        val tree = topology?.let { Files.json(it, "") { json -> json } }
         return RulesDocument(Files.text(file), tree)
     }
 
+    /** The command `rules check`; returns the exit status. */
     @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description = ["Reads rules without applying them: errors and warnings with their places."],
+        description = ["Checks rules without applying them; prints errors and warnings with their positions."],
     )
     fun check(
         @Parameters(paramLabel = "FILE", description = ["the rules"]) file: Path,
-        @Option(names = ["--topology"], paramLabel = "FILE", description = ["labels of machines (JSON)"]) topology: Path?,
+        @Option(names = ["--topology"], paramLabel = "FILE", description = ["the topology: labels of machines (JSON)"]) topology: Path?,
         @Option(
             names = ["--settings"],
             paramLabel = "FILE",
-            description = ["a cluster's file with machine_types, to warn of rules that none of them meets"],
+            description = ["a cluster's settings with machine_types, to warn of rules that no machine type satisfies"],
         ) settings: Path?,
     ): Int =
         withErrorReporting {
-            val known: Analysis.Inventory? = settings?.let { s -> Files.json(s, "") { LocalSettings(it, null, 1).known() } }
+            val known: Analysis.Inventory? = settings?.let { path -> Files.json(path, "") { LocalSettings(it, null, 1).known() } }
             val topologyName = topology?.toString() ?: "topology"
             val checked = document(file, topology).check(0, known, file.toString(), topologyName, rulesOnly = topology == null)
             (checked.errors + checked.warnings).forEach(System.err::println)
@@ -64,19 +65,20 @@
             Status.OK
         }
 
+    /** The command `rules apply`; returns the exit status. */
     @Command(
         name = "apply",
         mixinStandardHelpOptions = true,
-        description = ["Puts rules in force, all of them or none; what runs goes on."],
+        description = ["Puts a set of rules in force atomically; running tasks are not affected."],
     )
     fun apply(
         @Parameters(paramLabel = "FILE", description = ["the rules"]) file: Path,
-        @Option(names = ["--topology"], paramLabel = "FILE", description = ["labels of machines (JSON)"]) topology: Path?,
+        @Option(names = ["--topology"], paramLabel = "FILE", description = ["the topology: labels of machines (JSON)"]) topology: Path?,
         @Option(names = ["--expect"], paramLabel = "N", description = ["only if version N is in force"]) expect: Long?,
         @Option(
             names = ["--at"],
             paramLabel = "ADDRESS",
-            defaultValue = AT,
+            defaultValue = DEFAULT_ADDRESSES,
             description = ["controllers, as host:port,... (default: \${DEFAULT-VALUE})"],
         ) at: String,
     ): Int =
@@ -88,15 +90,15 @@
             val body = document.write(Json.obj()).apply { expect?.let { put("expect", it) } }
             val client = OperatorClient.at(at)
             val response = client.ask("POST", RulesApi.RULES_PATH, Json.write(body))
-            if (response.status != 200) return refused(response)
+            if (response.status != 200) return reportRejection(response)
             val version = Json.readObject(response.body).count("version")
             println("version $version is durable")
             val inForce = isInForce(client, version)
-            println(if (inForce) "version $version is in force" else "the leader has not told yet that it goes by version $version")
+            println(if (inForce) "version $version is in force" else "the leader has not confirmed yet that it applies version $version")
             Status.OK
         }
 
-    /** Whether the leader places by [version] or a later one, which takes it some moments. */
+    /** Polls until the leader applies [version] or a later one; false if it does not confirm that within [POLLS] attempts. */
     private fun isInForce(client: OperatorClient, version: Long): Boolean {
         repeat(POLLS) {
             val response = client.ask("GET", RulesApi.RULES_PATH)
@@ -107,7 +109,7 @@
         return false
     }
 
-    private fun refused(response: Response): Int {
+    private fun reportRejection(response: Response): Int {
         val body =
             try {
                 Json.readObject(response.body)
@@ -119,23 +121,24 @@
         return Status.FAILED
     }
 
+    /** The command `rules show`; returns the exit status. */
     @Command(
         name = "show",
         mixinStandardHelpOptions = true,
-        description = ["Prints the rules that are in force, or with --topology the labels."],
+        description = ["Prints the rules in force, or with --topology the topology."],
     )
     fun show(
         @Option(names = ["--topology"], description = ["print the topology instead"]) topology: Boolean,
         @Option(
             names = ["--at"],
             paramLabel = "ADDRESS",
-            defaultValue = AT,
+            defaultValue = DEFAULT_ADDRESSES,
             description = ["controllers, as host:port,... (default: \${DEFAULT-VALUE})"],
         ) at: String,
     ): Int =
         withErrorReporting {
             val response = OperatorClient.at(at).ask("GET", RulesApi.RULES_PATH)
-            if (response.status != 200) return refused(response)
+            if (response.status != 200) return reportRejection(response)
             val stored: ObjectNode = Json.readObject(response.body)
             if (topology) return Status.OK.also { println(stored.given("topology")?.toPrettyString() ?: "{}") }
             val version = stored.count("version")
@@ -143,13 +146,14 @@
                 when (val inForce = stored.given("in_force")?.longValue()) {
                     null -> "; the leader does not answer"
                     version -> ""
-                    else -> "; the leader still goes by version $inForce"
+                    else -> "; the leader still applies version $inForce"
                 }
             println("# version $version$leaderNote")
             print(stored.given("rules")?.textValue().orEmpty())
             Status.OK
         }
 
+    /** The command `rules schema`; returns the exit status. */
     @Command(name = "schema", mixinStandardHelpOptions = true, description = ["Prints the schema of the topology file."])
     fun schema(): Int {
         println(TopologyReader.schemaText())
--- a/src/main/kotlin/org/honeyjunction/app/RulesStore.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RulesStore.kt
@@ -17,29 +17,34 @@
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
-/** A version of the rules as it is stored. */
+/** One version of the rules: the stored document and the rule set compiled from it. */
 class StoredRules(val version: Long, val document: RulesDocument, val set: RuleSet) {
     companion object {
-        /** Before any rules were applied. */
+        /** The empty rules that are in force before an operator applies any. */
         val NONE = StoredRules(0, RulesDocument("", null), RuleSet.NONE)
     }
 }
 
 /**
- * The operators' rules in the state service. The chunks of a document are written first, under its hash; then one write of the
- * head, on condition of the head's and the chunks' versions, puts all of it in force. A crash in between, or a concurrent
- * change, leaves the version before as it was. [onChange] is called with every later version that this node takes over.
+ * The operators' rules in the state service. The chunks of a document are written first, under the document's hash. Then one
+ * conditional write of the head puts the document in force; its conditions are the versions of the head and of the chunks. A crash
+ * in between, or a concurrent change, leaves the previous version in force.
+ *
+ * @param onChange called with every later version that this node loads
  */
 class RulesStore(private val node: Node, private val onChange: (StoredRules) -> Unit) {
+    /** The outcome of [apply]. */
     sealed interface ApplyResult {
+        /** The rules are in force as [version]. */
         class Applied(val version: Long, val warnings: List<String>) : ApplyResult
 
+        /** The document has [errors]; nothing was changed. */
         class Invalid(val errors: List<String>) : ApplyResult
 
-        /** A concurrent change came first: [version] is in force now. */
+        /** Another version than expected, or a concurrent change, is in force: [version]. */
         class Conflict(val version: Long) : ApplyResult
 
-        /** The rules may be in force, or be so soon; reading them tells. */
+        /** The state service did not confirm the write. The rules may be in force, now or soon; read them to find out. */
         data object OutcomeUnknown : ApplyResult
     }
 
@@ -55,15 +60,15 @@
     var current = StoredRules.NONE
         private set
 
-    /** Whether [current] is in force, as far as this node knows. False until the state service has been read for the first time. */
+    /** Whether [current] is in force, as far as this node knows. False until this node has first read the rules from the state service. */
     var isUpToDate = false
         private set
 
-    /** For the validation of submissions; placements go by the leader's own. */
+    /** [current] for this node's validation of submitted jobs. Placements use the rules of the leader's scheduler state instead. */
     var book = RuleBook(node.settings.cluster, RuleSet.NONE)
         private set
 
-    /** Follows the changes of the head; never returns. */
+    /** Watches the head for changes and loads each new version; never returns. */
     suspend fun follow() {
         var since = 0L
         while (true) {
@@ -72,26 +77,26 @@
                 val changes = state.changes(Keys.RULES, since, WATCH_MS)
                 if (changes == null || changes.changes.isNotEmpty()) isUpToDate = false else since = changes.revision
             } catch (e: IOException) {
-                log.debug("following the rules: {}", e.message)
+                log.debug("watching the rules: {}", e.message)
                 delay(RETRY_MS)
             }
         }
     }
 
-    /** Reads the rules that are in force now; the revision of their head is returned. */
+    /** Reads the rules in force; returns the revision of their head. */
     suspend fun refresh(): Long {
         val entry = state.get(Keys.RULES)
-        use(read(entry))
+        load(read(entry))
         isUpToDate = true
         return entry.version
     }
 
-    /** Another controller has [version]: if it is later than this node's, the rules are read again. */
+    /** Records that another controller has [version]. If that is later than this node's version, [follow] reads the rules again. */
     fun observeVersion(version: Long) {
         if (version > current.version) isUpToDate = false
     }
 
-    private fun use(rules: StoredRules) {
+    private fun load(rules: StoredRules) {
         if (rules.version <= current.version) return
         current = rules
         book = RuleBook(node.settings.cluster, rules.set)
@@ -110,8 +115,8 @@
             } catch (e: MalformedException) {
                 throw StateUnavailableException("$name: ${e.message}")
             }
-        if (document.hash.hex() != head.hash) throw StateUnavailableException("$name are not as they were written")
-        val set = document.check(head.version).set ?: throw StateUnavailableException("$name can't be understood by this program")
+        if (document.hash.hex() != head.hash) throw StateUnavailableException("the stored $name does not match its hash")
+        val set = document.check(head.version).set ?: throw StateUnavailableException("$name is invalid for this program version")
         return StoredRules(head.version, document, set)
     }
 
@@ -119,10 +124,10 @@
         try {
             entry.value?.let { Head(it.count("version"), it.text("hash"), it.count("parts").toInt()) }
         } catch (e: MalformedException) {
-            throw StateUnavailableException("the head of the rules: ${e.message}")
+            throw StateUnavailableException("malformed head of the rules: ${e.message}")
         }
 
-    /** Puts [document] in force; with [expected], only if that version is in force before. */
+    /** Puts [document] in force; if [expected] is given, only if that version is in force so far. */
     suspend fun apply(document: RulesDocument, expected: Long?): ApplyResult {
         val entry = state.get(Keys.RULES)
         val version = head(entry)?.version ?: 0L
@@ -135,11 +140,11 @@
         val conditions = listOf(Condition(Keys.RULES, entry.version)) + chunkConditions
         return when (state.commit(conditions, listOf(Write(Keys.RULES, head.json())))) {
             is CompareAndSwapOutcome.Applied -> {
-                use(StoredRules(head.version, document, set))
+                load(StoredRules(head.version, document, set))
                 deleteChunksExcept(head.hash)
                 ApplyResult.Applied(head.version, checked.warnings)
             }
-            CompareAndSwapOutcome.Conflict -> explainRefusal(head, checked.warnings)
+            CompareAndSwapOutcome.Conflict -> resolveConflict(head, checked.warnings)
             CompareAndSwapOutcome.Unknown -> ApplyResult.OutcomeUnknown
         }
     }
@@ -149,24 +154,24 @@
         return "rules: ${document.json.size} bytes are more than the state service can change at once ($most)"
     }
 
-    /** A refusal means a concurrent change, or that an earlier attempt of the same write was applied after all. */
-    private suspend fun explainRefusal(written: Head, warnings: List<String>): ApplyResult {
-        val present = head(state.get(Keys.RULES))
-        val applied = present?.version == written.version && present.hash == written.hash
-        return if (applied) ApplyResult.Applied(written.version, warnings) else ApplyResult.Conflict(present?.version ?: 0L)
+    /** Tells a concurrent change apart from an earlier attempt of the same write that was applied without being confirmed. */
+    private suspend fun resolveConflict(written: Head, warnings: List<String>): ApplyResult {
+        val storedHead = head(state.get(Keys.RULES))
+        val applied = storedHead?.version == written.version && storedHead.hash == written.hash
+        return if (applied) ApplyResult.Applied(written.version, warnings) else ApplyResult.Conflict(storedHead?.version ?: 0L)
     }
 
     /**
-     * Deletes chunks that no head refers to. Another node may be writing chunks at this moment: its write of the head has
-     * those as its conditions, so it fails instead of referring to what is deleted.
+     * Deletes chunks that the head does not refer to. Another node may be writing such chunks concurrently. Its write of the head
+     * is conditional on the versions of its chunks, so that write fails instead of referring to deleted chunks.
      */
     private suspend fun deleteChunksExcept(hash: String) {
         try {
             val unused = state.scan(Keys.RULE_PARTS).entries.filter { !it.key.startsWith("${Keys.RULE_PARTS}$hash/") }
             unused.forEach { state.commit(listOf(Condition(it.key, it.version)), listOf(Write(it.key, null))) }
         } catch (e: IOException) {
-            // They are deleted with the next change.
-            log.debug("deleting unused rules: {}", e.message)
+            // The next change of the rules deletes the remaining chunks.
+            log.debug("deleting unused chunks of rules: {}", e.message)
         }
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/Settings.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Settings.kt
@@ -20,12 +20,24 @@
 import org.honeyjunction.wire.textOrNull
 import java.nio.file.Path
 
-/** Another controller: its name, and the address at which it listens for controllers. */
+/** Another controller: its name, and the address at which it listens for other controllers. */
 class Peer(val name: String, val address: String)
 
 /**
- * The platform's settings file, validated; unknown fields are ignored. Addresses are `host:port`. [stateLimits] and [cloudRps] are the
- * limits of the state service and the cloud, [listLagMs] is how far the cloud's list of machines may lag behind, in milliseconds.
+ * The platform's settings, validated. Unknown fields of the file are ignored. Addresses have the form `host:port`.
+ *
+ * @property node this controller's name
+ * @property listen the address of the HTTP API
+ * @property peerListen the address for requests of other controllers
+ * @property peers the other controllers
+ * @property cloud the cloud's address
+ * @property state the state service's address
+ * @property cluster the zones, teams and limits of the cluster
+ * @property stateLimits the request, write and size limits of the state service
+ * @property cloudRps the cloud's limit of requests per second
+ * @property listLagMs how far the cloud's list of machines may lag behind, in milliseconds
+ * @property maxSockets the number of sockets that this process may have open
+ * @property skewMs the bound of the wall clock's error, in milliseconds
  */
 class Settings(
     val node: String,
@@ -39,72 +51,71 @@
     val cloudRps: Double,
     val listLagMs: Long,
     val maxSockets: Int,
-    /** The bound of the wall clock's error, in milliseconds. */
     val skewMs: Long = 0,
 ) {
-    /** Settings that are valid but leave the service no slack; one line each. */
+    /** Warnings about settings that are valid but leave no margin; one line each. */
     val warnings: List<String>
         get() = if (RenewalBound.cancellationBudgetMs(cluster.cancelMs, cluster.leaseMs) > 0) emptyList() else listOf(unboundedCancellation)
 
     private val unboundedCancellation
         get() =
-            "$WORKERS: cancel_s ${cluster.cancelMs / 1000.0} leaves no room beside lease_s ${cluster.leaseMs / 1000.0}: a " +
-                "cancellation is confirmed only when all tasks of the job are gone"
+            "$WORKERS: cancel_s ${cluster.cancelMs / 1000.0} leaves no margin over lease_s ${cluster.leaseMs / 1000.0}: a " +
+                "cancellation is confirmed only after all tasks of the job have ended"
 
     companion object {
-        /** The settings in [file]; throws [MalformedException] with the path of the wrong field, or [BadFileException]. */
+        /** Reads [file]; throws [MalformedException] with the path of an invalid field, or [BadFileException]. */
         fun read(file: Path): Settings = parse(Json.readObject(Files.bytes(file)))
 
-        /** The settings in [file]'s object; throws [MalformedException] with the path of the wrong field. */
+        /** Reads the content [file] of a settings file; throws [MalformedException] with the path of an invalid field. */
         fun parse(file: JsonNode): Settings {
-            val params = part(file, "params")
-            val external = part(file, "external")
-            val workers = part(params, "workers", "params.")
-            val state = part(params, "state", "params.")
-            val cloud = part(params, "cloud", "params.")
+            val params = section(file, "params")
+            val external = section(file, "external")
+            val workers = section(params, "workers", "params.")
+            val state = section(params, "state", "params.")
+            val cloud = section(params, "cloud", "params.")
             val limits = params.given("machine_limits")
-            val sockets = within("params.machine_limits") { limits?.amountOrNull("max_sockets") }?.toInt() ?: DEFAULT_SOCKETS
-            val peers = each(file.listOrEmpty("seeds"), "seeds") { Peer(it.text("host_name"), address(it, "address")) }
+            val sockets = withPath("params.machine_limits") { limits?.amountOrNull("max_sockets") }?.toInt() ?: DEFAULT_MAX_SOCKETS
+            val peers = readEach(file.listOrEmpty("seeds"), "seeds") { Peer(it.text("host_name"), address(it, "address")) }
             val cluster = cluster(params, workers, state, sockets)
-            val stateLimits = within(STATE) { stateLimits(state, controllers = peers.size + 1) }
+            val stateLimits = withPath(STATE) { stateLimits(state, controllers = peers.size + 1) }
             return Settings(
                 file.text("host_name"),
                 address(file, "api_addr"),
                 address(file, "peer_listen"),
                 peers,
-                within("external") { address(external, "cloud") },
-                within("external") { address(external, "state") },
+                withPath("external") { address(external, "cloud") },
+                withPath("external") { address(external, "state") },
                 cluster,
                 stateLimits,
-                within(CLOUD) { positive(cloud, "rps") },
-                within(CLOUD) { millis(cloud, "list_lag_s") },
+                withPath(CLOUD) { positive(cloud, "rps") },
+                withPath(CLOUD) { millis(cloud, "list_lag_s") },
                 sockets,
-                within("params") { params.amountOrNull("skew_ms") }?.toLong() ?: 0,
+                withPath("params") { params.amountOrNull("skew_ms") }?.toLong() ?: 0,
             )
         }
 
         private fun cluster(params: JsonNode, workers: JsonNode, state: JsonNode, sockets: Int) =
             Cluster(
-                within("params") { zones(params) },
-                within("params") { each(params.list("teams"), "teams", ::team) },
-                leaseMs = within(WORKERS) { millis(workers, "lease_s") },
-                heartbeatIntervalMs = within(WORKERS) { millis(workers, "report_s") },
-                cancelMs = within(WORKERS) { millis(workers, "cancel_s") },
-                pageBytes = within(STATE) { pageBytes(state) },
-                pageWriteIntervalMs = within(STATE) { pageGapMs(state) },
-                maxCommandsInFlight = (sockets * SENDS_SHARE).toInt().coerceAtLeast(1),
-                startWithinS = within("params") { startWithinS(params) },
+                withPath("params") { zones(params) },
+                withPath("params") { readEach(params.list("teams"), "teams", ::team) },
+                leaseMs = withPath(WORKERS) { millis(workers, "lease_s") },
+                heartbeatIntervalMs = withPath(WORKERS) { millis(workers, "report_s") },
+                cancelMs = withPath(WORKERS) { millis(workers, "cancel_s") },
+                pageBytes = withPath(STATE) { pageBytes(state) },
+                pageWriteIntervalMs = withPath(STATE) { pageWriteIntervalMs(state) },
+                maxCommandsInFlight = (sockets * COMMAND_SOCKETS_SHARE).toInt().coerceAtLeast(1),
+                startWithinS = withPath("params") { startWithinS(params) },
             )
 
-        private fun pageBytes(state: JsonNode) = (minOf(state.amount("value_kb") * 1024, MAX_PAGE_BYTES) * PAGE_FILL).toInt()
+        private fun pageBytes(state: JsonNode) = (minOf(state.amount("value_kb") * 1024, MAX_PAGE_BYTES) * PAGE_FILL_FACTOR).toInt()
 
-        private fun pageGapMs(state: JsonNode) =
-            (1000 / (positive(state, "write_rps") * PAGE_SHARE)).toLong().coerceAtLeast(MIN_PAGE_GAP_MS)
+        private fun pageWriteIntervalMs(state: JsonNode) =
+            (1000 / (positive(state, "write_rps") * JOURNAL_WRITE_SHARE)).toLong().coerceAtLeast(MIN_PAGE_WRITE_INTERVAL_MS)
 
-        /** Service-level objectives by class: the seconds within which its jobs are to start. */
+        /** The service-level objective of each job class: the time in seconds within which its jobs are to start. */
         private fun startWithinS(params: JsonNode): Map<String, Double> {
             val objectives = params.listOrEmpty("objectives").filter { it.textOrNull("kind") == "wait" }
-            return each(objectives, "objectives") { it.text("class") to it.amount("within_s") }.toMap()
+            return readEach(objectives, "objectives") { it.text("class") to it.amount("within_s") }.toMap()
         }
 
         private fun stateLimits(state: JsonNode, controllers: Int) =
@@ -116,16 +127,16 @@
                 (state.amount("value_kb") * 1024).toInt(),
             )
 
-        /** Puts [path] in front of the errors of [read], so that they name the whole path of a field. */
-        private inline fun <T> within(path: String, read: () -> T): T =
+        /** Prefixes the errors of [read] with [path], so that they contain the full path of a field. */
+        private inline fun <T> withPath(path: String, read: () -> T): T =
             try {
                 read()
             } catch (e: MalformedException) {
                 throw MalformedException("$path.${e.message}")
             }
 
-        private fun <T> each(all: List<JsonNode>, path: String, read: (JsonNode) -> T): List<T> =
-            all.mapIndexed { i, item -> within("$path[$i]") { read(item) } }
+        private fun <T> readEach(all: List<JsonNode>, path: String, read: (JsonNode) -> T): List<T> =
+            all.mapIndexed { i, item -> withPath("$path[$i]") { read(item) } }
 
         private fun zones(params: JsonNode): NameTable {
             val zones = params.list("zones").map { it.textValue()?.takeIf(String::isNotEmpty) ?: invalid("zones") }
@@ -143,7 +154,7 @@
                 Resources(team.amountOrNull("cpus_max") ?: 0.0, team.amountOrNull("gpus_max") ?: 0.0, 0.0),
             )
 
-        private fun part(parent: JsonNode, name: String, path: String = "") =
+        private fun section(parent: JsonNode, name: String, path: String = "") =
             parent.given(name)?.takeIf { it.isObject } ?: invalid("$path$name")
 
         private fun positive(part: JsonNode, name: String) = part.amount(name).takeIf { it > 0 } ?: invalid(name)
@@ -164,17 +175,17 @@
         private const val WORKERS = "params.workers"
         private const val STATE = "params.state"
         private const val CLOUD = "params.cloud"
-        private const val DEFAULT_SOCKETS = 1000
+        private const val DEFAULT_MAX_SOCKETS = 1000
 
-        /** Larger pages would only cost more to write again. */
+        /** A larger page only costs more each time that it is rewritten. */
         private const val MAX_PAGE_BYTES = 8192.0
-        private const val PAGE_FILL = 0.9
+        private const val PAGE_FILL_FACTOR = 0.9
 
-        /** The placement journal's part of the changes that the state service allows. */
-        private const val PAGE_SHARE = 0.3
-        private const val MIN_PAGE_GAP_MS = 50L
+        /** The placement journal's share of the writes per second that the state service allows. */
+        private const val JOURNAL_WRITE_SHARE = 0.3
+        private const val MIN_PAGE_WRITE_INTERVAL_MS = 50L
 
-        /** Commands to workers in flight, as a part of all sockets. */
-        private const val SENDS_SHARE = 0.1
+        /** The share of all sockets that commands to workers may use at the same time. */
+        private const val COMMAND_SOCKETS_SHARE = 0.1
     }
 }
--- a/src/main/kotlin/org/honeyjunction/app/TermRecovery.kt
+++ b/src/main/kotlin/org/honeyjunction/app/TermRecovery.kt
@@ -15,54 +15,62 @@
 import org.honeyjunction.wire.MalformedException
 import org.slf4j.LoggerFactory
 
-/** What a term begins with: [state], and the revision from which the changes of jobs are to be followed. */
+/** The recovered [state] at the start of a term, and the revision from which changes of job records are followed. */
 internal class RecoveredTerm(val state: RecoveredState, val jobsRevision: Long)
 
-/** Reads what earlier terms stored. */
+/** Reads the state that the leaders of earlier terms stored. */
 internal class TermRecovery(private val state: KeyValueClient) {
     private val log = LoggerFactory.getLogger(Node::class.java)
 
     /**
-     * Reads jobs, journal pages and checkpoints; [terminalRecords] learns which terminal records are still among the active ones.
-     * Throws [MalformedException] for a journal page that can't be read, since it may name a running task.
+     * Reads jobs, journal pages and checkpoints, and adds to [terminalRecords] the terminal records that are still stored among
+     * the records of active jobs. Throws [MalformedException] for a malformed journal page, since the page may name a running task.
      */
     suspend fun recover(terminalRecords: TerminalRecordPlacement?): RecoveredTerm {
         val (jobEntries, revision) = state.scan(Keys.JOBS)
         val pages = state.scan(Keys.PAGES).entries.mapNotNull(::journalPage)
         val machines = state.scan(Keys.HINTS).entries.flatMap(::machineCheckpoints)
-        val (active, over) = jobEntries.mapNotNull(::storedJob).partition { it.stage == JobStage.ACTIVE }
-        over.forEach { terminalRecords?.addInPlace(it.spec.id) }
-        val jobs = withStartedJobs(active, over, pages)
-        val checkpoint = state.get(Keys.MARKS).value?.let { value -> orNull { CheckpointCodec.readLeader(value) } } ?: LeaderCheckpoint()
+        val (active, terminated) = jobEntries.mapNotNull(::storedJob).partition { it.stage == JobStage.ACTIVE }
+        terminated.forEach { terminalRecords?.addInPlace(it.spec.id) }
+        val jobs = withStartedJobs(active, terminated, pages)
+        val checkpoint =
+            state.get(Keys.MARKS).value?.let { value -> readOrNull { CheckpointCodec.readLeader(value) } } ?: LeaderCheckpoint()
         return RecoveredTerm(RecoveredState(jobs, pages, machines, checkpoint), revision)
     }
 
-    /** Tasks of finished and cancelled jobs may still be on a machine, and count for their team: jobs that [pages] name are kept. */
-    private suspend fun withStartedJobs(active: List<StoredJob>, over: List<StoredJob>, pages: List<JournalPageRecord>): List<StoredJob> {
+    /**
+     * The [active] jobs and those [terminated] jobs that [pages] name: tasks of a terminated job may still be on a machine, and
+     * count towards the usage of the job's team.
+     */
+    private suspend fun withStartedJobs(
+        active: List<StoredJob>,
+        terminated: List<StoredJob>,
+        pages: List<JournalPageRecord>,
+    ): List<StoredJob> {
         val started = pages.flatMapTo(HashSet()) { page -> page.starts.map { it.job } }
-        val jobs = (active + over.filter { it.spec.id in started }).toMutableList()
+        val jobs = (active + terminated.filter { it.spec.id in started }).toMutableList()
         val missing = started - jobs.mapTo(HashSet()) { it.spec.id }
         return missing.mapNotNullTo(jobs) { terminalRecord(it) }
     }
 
     private suspend fun terminalRecord(id: String): StoredJob? = storedJob(state.get(Keys.final(id)))
 
-    private fun storedJob(entry: Entry): StoredJob? = entry.value?.let { value -> orNull { JobCodec.stored(value, entry.version) } }
+    private fun storedJob(entry: Entry): StoredJob? = entry.value?.let { value -> readOrNull { JobCodec.stored(value, entry.version) } }
 
     private fun machineCheckpoints(entry: Entry): List<MachineCheckpoint> =
-        orNull { entry.value?.let(CheckpointCodec::readMachines) }.orEmpty()
+        readOrNull { entry.value?.let(CheckpointCodec::readMachines) }.orEmpty()
 
     private fun journalPage(entry: Entry): JournalPageRecord? {
         val number = entry.key.removePrefix(Keys.PAGES).toIntOrNull() ?: return null
         return entry.value?.let { JournalPageCodec.read(number, entry.version, it) }
     }
 
-    /** A record that can't be read must not keep the service from starting: it is logged once and left out. */
-    private inline fun <T> orNull(read: () -> T): T? =
+    /** The result of [read], or null if the record is malformed: such a record is logged and skipped, so that the term can start. */
+    private inline fun <T> readOrNull(read: () -> T): T? =
         try {
             read()
         } catch (e: MalformedException) {
-            log.error("a record can't be read: {}", e.message)
+            log.error("skipped a malformed record: {}", e.message)
             null
         }
 }
--- a/src/main/kotlin/org/honeyjunction/app/TimelineCommand.kt
+++ b/src/main/kotlin/org/honeyjunction/app/TimelineCommand.kt
@@ -15,23 +15,25 @@
 import java.util.concurrent.Callable
 import kotlin.io.path.useLines
 
-/** `honeyjunction timeline`: prints the logs of several controllers, of this version or an earlier one, in one order. */
+/** The command `timeline`: merges the logs of several controllers, of this or an earlier version, into one order and prints it. */
 @Command(
     name = "timeline",
     mixinStandardHelpOptions = true,
     description = [
-        "Merges the logs of several controllers into one order, by terms and by clocks within their bounds.",
-        "What stands before a line says how sure its place is after the line before it: nothing (the same controller), '|' (the " +
-            "clocks' bounds do not overlap), '>' (by terms), '~' (not known).",
+        "Merges the logs of several controllers into one order, by terms and by clocks with their error bounds.",
+        "The mark before a line shows why it comes after the line before it: none (the same controller), '|' (the clocks' error " +
+            "bounds do not overlap), '>' (by terms), '~' (unknown: by the clocks, which may be wrong).",
     ],
     exitCodeListHeading = "Exit status:%n",
-    exitCodeList = ["0:told", "1:the output can't be written", "2:wrong arguments", "3:a file is missing or is no log of a controller"],
+    exitCodeList = ["0:told", "1:the output can't be written", "2:wrong arguments", "3:a file is missing or is not a controller's log"],
 )
 class TimelineCommand : Callable<Int> {
-    @Parameters(arity = "1..*", paramLabel = "LOG", description = ["what controllers wrote to standard error, a file each"])
+    /** The log files to merge. */
+    @Parameters(arity = "1..*", paramLabel = "LOG", description = ["the standard error output of a controller, one file each"])
     lateinit var files: List<Path>
 
-    @Option(names = ["--events"], description = ["only lines with an event's name"])
+    /** Whether to print only lines with an event name. */
+    @Option(names = ["--events"], description = ["print only lines with an event name"])
     var eventsOnly = false
 
     override fun call(): Int {
@@ -50,22 +52,22 @@
             try {
                 file.useLines { LogReader.read(file.toString(), it) }
             } catch (_: NoSuchFileException) {
-                throw UnreadableLogException("$file: there is no such file")
+                throw UnreadableLogException("$file: no such file")
             } catch (_: CharacterCodingException) {
-                throw UnreadableLogException("$file: is no text in UTF-8")
+                throw UnreadableLogException("$file: not UTF-8 text")
             } catch (e: IOException) {
                 throw UnreadableLogException("$file: can't be read: ${e.message}")
             }
         if (log.entries.isEmpty()) {
-            throw UnreadableLogException("$file:1: no line has the time, controller and term of a controller's log")
+            throw UnreadableLogException("$file:1: not a controller's log: no line starts with a time, controller and term")
         }
         if (log.strayLines > 0) {
-            System.err.println("$file: ${log.strayLines} lines before the first that a controller wrote are left out")
+            System.err.println("$file: skipped ${log.strayLines} lines before the first line with a timestamp")
         }
         return log
     }
 
-    /** The lines to print for [ordered]: none where only events are wanted and it is none. */
+    /** The lines to print for [ordered]; none if only events are printed and [ordered] is not an event. */
     internal fun render(ordered: OrderedEntry): List<String> {
         val entry = ordered.entry
         if (eventsOnly && entry.event == null) return emptyList()
@@ -81,6 +83,6 @@
             OrderEvidence.UNKNOWN -> '~'
         }
 
-    /** A file that is missing or is no controller's log; [message] names it and says why. */
+    /** A file is missing or is not a controller's log; [message] names the file and the reason. */
     private class UnreadableLogException(override val message: String) : Exception(message)
 }
--- a/src/main/kotlin/org/honeyjunction/app/WarmUp.kt
+++ b/src/main/kotlin/org/honeyjunction/app/WarmUp.kt
@@ -31,18 +31,18 @@
 import java.net.ServerSocket
 
 /**
- * Starts a node without other services on loopback and sends it some requests, so that the build can archive its classes
- * (class-data sharing).
+ * Loads the classes of a controller, so that the build can write a class-data sharing archive: starts a node on loopback without
+ * other services, sends it some requests, and leads a term in memory.
  */
 object WarmUp {
     private const val STEPS = 40
     private const val STEP_MS = 250L
 
-    /** Returns the exit status. */
+    /** Runs the warm-up; returns the exit status. */
     fun run(): Int =
         EventLoop().use { loop ->
             val ports = List(4) { ServerSocket(0) }.onEach { it.close() }.map { it.localPort }
-            val settings = Settings.parse(Json.readObject(example(ports).toByteArray()))
+            val settings = Settings.parse(Json.readObject(exampleSettings(ports).toByteArray()))
             Node(settings, Tuning(), loop).start()
             leadTerm(settings)
             runBlocking {
@@ -53,7 +53,7 @@
             0
         }
 
-    /** Leads a small term without input or output, so that the classes of a failover are archived too. */
+    /** Leads a term of a small cluster without input or output, so that the classes that a new leader needs are archived too. */
     private fun leadTerm(settings: Settings) {
         val cluster = settings.cluster
         cluster.types[cluster.typeNames.index("k")] = MachineType("k", Resources(8.0, 4.0, 64.0), 50.0, 1.0, 2.0, 1.0, 5.0, listOf(0))
@@ -86,13 +86,13 @@
             null,
         )
 
-    /** A page of the placement journal, once through its codec. */
+    /** A page of the placement journal, encoded and decoded once. */
     private fun examplePage(): JournalPageRecord {
         val page = JournalPageRecord(0, 1, listOf(RecordedStart("j-0", 0, 7, "m")), emptyMap())
         return JournalPageCodec.read(0, 1, Json.read(Json.write(JournalPageCodec.write(page, 1))))
     }
 
-    /** Heartbeats of two machines, a tick with its writes, and a placement round of a peer. */
+    /** Runs heartbeats of two machines, a tick with its writes, and a placement round of a peer. */
     private fun leadStep(leader: Leader, step: Long, now: Long) {
         for (machine in listOf("m", "m2")) {
             val heartbeat = Heartbeat(machine, "127.0.0.1:1", "k", "a", false, 1, step, leader.state.termToken, null, emptyList())
@@ -125,12 +125,12 @@
             try {
                 client.send(method, path, body.toByteArray(), 500)
             } catch (e: IOException) {
-                System.err.println("rehearsal: $path: ${e.message}")
+                System.err.println("warm-up: $path: ${e.message}")
             }
         }
     }
 
-    private fun example(ports: List<Int>): String {
+    private fun exampleSettings(ports: List<Int>): String {
         val (listen, peer, cloud, state) = ports.map { "127.0.0.1:$it" }
         return """{"host_name":"n","zone":"a","api_addr":"$listen","peer_listen":"$peer","seeds":[],
             "external":{"cloud":"$cloud","state":"$state"},
