--- a/src/main/kotlin/org/honeyjunction/app/ExplainCommand.kt
+++ b/src/main/kotlin/org/honeyjunction/app/ExplainCommand.kt
@@ -37,7 +37,7 @@
         }
         return try {
             val response = OperatorClient.at(addresses).ask("GET", "${JobApi.JOBS_PATH}/$jobOrTask${RulesApi.EXPLAIN_SUFFIX}")
-            if (response.status != 200) return printError(OperatorClient.why(response), ExitStatus.FAILED)
+            if (response.status != 200) return printError(OperatorClient.reason(response), ExitStatus.FAILED)
             ExplainCodec.lines(Json.readObject(response.body)).forEach(::println)
             ExitStatus.OK
         } catch (e: IllegalArgumentException) {
--- a/src/main/kotlin/org/honeyjunction/app/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/org/honeyjunction/app/HeartbeatEndpoint.kt
@@ -12,7 +12,7 @@
  */
 internal class HeartbeatEndpoint(private val node: Node, private val candidacy: Candidacy) {
     private val log = LoggerFactory.getLogger(Node::class.java)
-    private val received = RecentCount(WINDOW_MS)
+    private val received = RecentEventCounter(WINDOW_MS)
 
     /** The number of heartbeats that reached this node within [WINDOW_MS] before [now]. */
     fun recent(now: Long): Int = received.count(now)
@@ -26,7 +26,7 @@
                 log.debug("malformed heartbeat: {}", e.message)
                 return Response(400)
             }
-        received.note(node.clock.steady())
+        received.record(node.clock.steady())
         candidacy.heartbeatReceived()
         val driver = node.leadership.driver
         val answer = driver?.leader?.answerHeartbeat(heartbeat, node.clock.steady())
--- a/src/main/kotlin/org/honeyjunction/app/JobCancellation.kt
+++ b/src/main/kotlin/org/honeyjunction/app/JobCancellation.kt
@@ -17,7 +17,7 @@
     /** Cancels job [id]; [forwarded]: another controller forwarded the request, so it is not forwarded again. */
     suspend fun cancel(id: String, forwarded: Boolean): Response {
         statuses.terminalStatus(id)?.let { return terminalResponse(id, it) }
-        val driver = node.certainLeader ?: return forwardToLeader(id, forwarded)
+        val driver = node.driverWithLease ?: return forwardToLeader(id, forwarded)
         var stage = driver.cancel(id)
         if (stage == null) {
             // This leader has not seen the job yet; another node may have accepted the job a moment ago.
--- a/src/main/kotlin/org/honeyjunction/app/JobStatusReader.kt
+++ b/src/main/kotlin/org/honeyjunction/app/JobStatusReader.kt
@@ -43,23 +43,23 @@
     }
 
     /** The status of job [id] if no query is needed: cached as terminal, or in this node's memory while it holds the leader lease. */
-    fun certainStatus(id: String): JobStatus? = terminalStatuses[id] ?: node.certainLeader?.leader?.confirmedStatus(id)
+    fun certainStatus(id: String): JobStatus? = terminalStatuses[id] ?: node.driverWithLease?.leader?.confirmedStatus(id)
 
     /** Whether a job of this id was ever accepted, as its records in the state service say; coalesced with other queries. */
-    suspend fun isRecorded(id: String): QueryOutcome<Boolean> = queries.accepted.query(id)
+    suspend fun isRecorded(id: String): QueryOutcome<Boolean> = queries.acceptance.query(id)
 
     /** Reads the status of job [id]. Queries to the leader and to the state service are coalesced with those of other users. */
     suspend fun read(id: String): StatusResult {
         certainStatus(id)?.let { return found(id, it) }
-        if (node.leaderWorthAsking) {
-            when (val outcome = queries.leader.query(id)) {
+        if (node.isLeaderReachable) {
+            when (val outcome = queries.leaderStatus.query(id)) {
                 is QueryOutcome.Answered -> return found(id, outcome.answer)
                 QueryOutcome.Rejected -> return StatusResult.Unavailable(JobApi.TOO_MANY_QUERIES)
                 // The leader is not certain, or does not respond: the record is read instead.
                 QueryOutcome.NoResponse -> Unit
             }
         }
-        return when (val outcome = queries.records.query(id)) {
+        return when (val outcome = queries.jobRecord.query(id)) {
             is QueryOutcome.Answered -> outcome.answer.job?.let { found(id, status(it)) } ?: StatusResult.NotFound
             QueryOutcome.Rejected -> StatusResult.Unavailable(JobApi.TOO_MANY_QUERIES)
             QueryOutcome.NoResponse -> StatusResult.Unavailable(JobApi.NO_STATE_SERVICE)
