--- a/src/main/kotlin/org/honeyjunction/app/CloudClient.kt
+++ b/src/main/kotlin/org/honeyjunction/app/CloudClient.kt
@@ -48,7 +48,7 @@
     /** One page of the rented machines, ordered by name, [after] the named one or from the first. */
     suspend fun listMachines(after: String?): CloudCodec.Page {
         val since = after?.let { "Since=$it&" }.orEmpty()
-        return parse { CloudCodec.page(requireOk(send("GET", "/rentals?${since}Most=500")).body) }
+        return parse { CloudCodec.instancePage(requireOk(send("GET", "/rentals?${since}Most=500")).body) }
     }
 
     private suspend fun send(
--- a/src/main/kotlin/org/honeyjunction/app/Election.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Election.kt
@@ -82,8 +82,8 @@
             state.commitNow(
                 listOf(Condition(Keys.LEAD, 0), Condition(Keys.TERM, last.version)),
                 listOf(
-                    Write(Keys.LEAD, Json.obj().put(Keys.LEADER, node).put("term", next), lease),
-                    Write(Keys.TERM, Json.obj().put("term", next)),
+                    Write(Keys.LEAD, Json.newObject().put(Keys.LEADER, node).put("term", next), lease),
+                    Write(Keys.TERM, Json.newObject().put("term", next)),
                 ),
             )
         if (version == null) {
--- a/src/main/kotlin/org/honeyjunction/app/FollowerRounds.kt
+++ b/src/main/kotlin/org/honeyjunction/app/FollowerRounds.kt
@@ -59,7 +59,7 @@
         node.reachability.peerContacted()
         node.leaderLiveness.recordResponse(clock.steady())
         node.admission.installPlan(response.plan, planRequestedAt)
-        if (response.certain) node.reachability.leaderHeldLease()
+        if (response.holdsLease) node.reachability.leaderHeldLease()
         node.writeBudget.granted(response.writesPerS)
         node.rules?.noteVersion(response.summary.rules.version)
     }
--- a/src/main/kotlin/org/honeyjunction/app/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/org/honeyjunction/app/HeartbeatEndpoint.kt
@@ -30,7 +30,7 @@
         val driver = node.leadership.driver
         val answer = driver?.leader?.answerHeartbeat(heartbeat, node.clock.steady())
         driver?.executeEffects()
-        if (answer != null) return Response(200, WorkerCodec.answer(answer.token, answer.commands))
+        if (answer != null) return Response(200, WorkerCodec.heartbeatResponse(answer.token, answer.commands))
         return redirect()
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/JobApi.kt
+++ b/src/main/kotlin/org/honeyjunction/app/JobApi.kt
@@ -37,7 +37,7 @@
 
     private suspend fun status(id: String): Response =
         when (val result = statuses.read(id)) {
-            is StatusResult.Found -> Response(200, JobCodec.answer(id, result.status, counts = true))
+            is StatusResult.Found -> Response(200, JobCodec.statusResponse(id, result.status, counts = true))
             StatusResult.NotFound -> Response(404)
             is StatusResult.Unavailable -> node.serviceUnavailable(result.reason, id)
         }
--- a/src/main/kotlin/org/honeyjunction/app/JobCancellation.kt
+++ b/src/main/kotlin/org/honeyjunction/app/JobCancellation.kt
@@ -43,7 +43,7 @@
         return ended(id, status)
     }
 
-    private fun ended(id: String, status: JobStatus) = Response(200, JobCodec.answer(id, status, counts = false))
+    private fun ended(id: String, status: JobStatus) = Response(200, JobCodec.statusResponse(id, status, counts = false))
 
     private companion object {
         const val CANCEL_TIMEOUT_MS = 3_000L
--- a/src/main/kotlin/org/honeyjunction/app/JobSubmission.kt
+++ b/src/main/kotlin/org/honeyjunction/app/JobSubmission.kt
@@ -102,5 +102,6 @@
         }
     }
 
-    private fun accepted(statusCode: Int, id: String, job: JobStatus) = Response(statusCode, JobCodec.answer(id, job, counts = false))
+    private fun accepted(statusCode: Int, id: String, job: JobStatus) =
+        Response(statusCode, JobCodec.statusResponse(id, job, counts = false))
 }
--- a/src/main/kotlin/org/honeyjunction/app/MachineTypeRefresh.kt
+++ b/src/main/kotlin/org/honeyjunction/app/MachineTypeRefresh.kt
@@ -51,7 +51,7 @@
 
     private fun use(body: ByteArray) {
         try {
-            cluster.types.putAll(CloudCodec.types(body, cluster))
+            cluster.types.putAll(CloudCodec.machineTypes(body, cluster))
         } catch (e: MalformedException) {
             log.warn("the machine types can't be read: {}", e.message)
         }
--- a/src/main/kotlin/org/honeyjunction/app/OperatorSettings.kt
+++ b/src/main/kotlin/org/honeyjunction/app/OperatorSettings.kt
@@ -8,7 +8,7 @@
 import org.honeyjunction.core.placement.CostSettings
 import org.honeyjunction.nomad.NomadOptions
 import org.honeyjunction.wire.MalformedException
-import org.honeyjunction.wire.given
+import org.honeyjunction.wire.fieldOrNull
 import java.nio.file.Path
 
 /** The operators' settings; [nomad] is null where the file has no settings of the interface for job files. */
@@ -30,7 +30,7 @@
         val faults = schema.validate(settings)
         if (faults.isNotEmpty()) throw MalformedException(faults.joinToString("; ") { it.message })
         val defaults = Tuning()
-        val rules = settings.given("rules")
+        val rules = settings.fieldOrNull("rules")
         return defaults.copy(
             placementIntervalMs = settings.ms("round_ms", defaults.placementIntervalMs),
             summaryWaitMs = settings.ms("summary_ms", defaults.summaryWaitMs),
@@ -43,10 +43,10 @@
             ownerTimeoutMs = settings.ms("lapse_ms", defaults.ownerTimeoutMs),
             leaseMs = settings.ms("lease_ms", defaults.leaseMs),
             maxTasks = settings.ms("max_tasks", defaults.maxTasks.toLong()).toInt(),
-            rules = rules?.given("on")?.booleanValue() ?: defaults.rules,
+            rules = rules?.fieldOrNull("on")?.booleanValue() ?: defaults.rules,
             explainMs = rules?.ms("explain_ms", defaults.explainMs) ?: defaults.explainMs,
             explainTasks = rules?.ms("explain_tasks", defaults.explainTasks.toLong())?.toInt() ?: defaults.explainTasks,
-            cost = cost(settings.given("cost"), rules, defaults.cost),
+            cost = cost(settings.fieldOrNull("cost"), rules, defaults.cost),
         )
     }
 
@@ -64,19 +64,19 @@
 
     /** The settings of the interface for job files; null where the file has none. */
     private fun nomad(settings: ObjectNode): NomadOptions? {
-        val options = settings.given("nomad") ?: return null
+        val options = settings.fieldOrNull("nomad") ?: return null
         val defaults = NomadOptions()
         return NomadOptions(
-            options.given("on")?.booleanValue() ?: defaults.on,
-            options.given("listen")?.textValue() ?: defaults.listen,
+            options.fieldOrNull("on")?.booleanValue() ?: defaults.on,
+            options.fieldOrNull("listen")?.textValue() ?: defaults.listen,
             options.number("mhz_per_core", defaults.mhzPerCore),
-            options.given("team")?.textValue(),
-            options.given("production")?.mapNotNull { it.textValue() } ?: defaults.production,
+            options.fieldOrNull("team")?.textValue(),
+            options.fieldOrNull("production")?.mapNotNull { it.textValue() } ?: defaults.production,
             options.ms("max_waiting", defaults.maxWaiting.toLong()).toInt(),
         )
     }
 
-    private fun JsonNode.ms(name: String, otherwise: Long) = given(name)?.longValue() ?: otherwise
+    private fun JsonNode.ms(name: String, otherwise: Long) = fieldOrNull(name)?.longValue() ?: otherwise
 
-    private fun JsonNode?.number(name: String, otherwise: Double) = this?.given(name)?.doubleValue() ?: otherwise
+    private fun JsonNode?.number(name: String, otherwise: Double) = this?.fieldOrNull(name)?.doubleValue() ?: otherwise
 }
--- a/src/main/kotlin/org/honeyjunction/app/RequestRouter.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RequestRouter.kt
@@ -17,7 +17,7 @@
         when (request.path) {
             "/up" -> if (request.method == "GET") readiness() else Response(405)
             HeartbeatEndpoint.PATH -> if (request.method == "POST") heartbeats.handle(request) else Response(405)
-            else -> if (request.body.size > HttpLimits().body) Response(413) else route(request, forwarded = false)
+            else -> if (request.body.size > HttpLimits().maxBodyBytes) Response(413) else route(request, forwarded = false)
         }
 
     /** What users and operators ask, here or with [forwarded] through another controller. */
--- a/src/main/kotlin/org/honeyjunction/app/RulesApi.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RulesApi.kt
@@ -9,7 +9,7 @@
 import org.honeyjunction.wire.Request
 import org.honeyjunction.wire.Response
 import org.honeyjunction.wire.count
-import org.honeyjunction.wire.given
+import org.honeyjunction.wire.fieldOrNull
 import java.io.IOException
 
 /** The HTTP API of the operators' rules, and of explanations of placements. Enabled by the operators' settings. */
@@ -34,7 +34,7 @@
     private suspend fun show(): Response {
         if (!store.known) return serviceUnavailable("the rules are not known here yet")
         val rules = store.current
-        val body = rules.document.write(Json.obj().put("version", rules.version))
+        val body = rules.document.write(Json.newObject().put("version", rules.version))
         leaderVersion()?.let { body.put("in_force", it) }
         return Response(200, Json.write(body))
     }
@@ -42,7 +42,7 @@
     /** The version by which this node places as the leader; -1 where it is not certain to lead. */
     private fun versionInForce(): Response {
         val version = node.certainLeader?.leader?.rulesVersion ?: NOT_LEADING
-        return Response(200, Json.write(Json.obj().put("version", version)))
+        return Response(200, Json.write(Json.newObject().put("version", version)))
     }
 
     /** The version by which the leader places; null where it can't be asked. */
@@ -50,25 +50,25 @@
         node.certainLeader?.let { return it.leader.rulesVersion }
         val response = node.users.forward(Request("GET", VERSION_PATH, Response.NO_BODY)) ?: return null
         if (response.status != 200) return null
-        return Json.readObject(response.body).given("version")?.longValue()?.takeIf { it >= 0 }
+        return Json.readObject(response.body).fieldOrNull("version")?.longValue()?.takeIf { it >= 0 }
     }
 
     private suspend fun apply(request: Request): Response {
         val (document, expected) =
             try {
                 val body = Json.readObject(request.body)
-                RulesDocument.parse(body) to if (body.given("expect") == null) null else body.count("expect")
+                RulesDocument.parse(body) to if (body.fieldOrNull("expect") == null) null else body.count("expect")
             } catch (e: MalformedException) {
                 return Response(400, Json.error(e.message!!))
             }
         return when (val result = store.apply(document, expected)) {
             is RulesStore.ApplyResult.Applied ->
-                Response(200, Json.write(Json.obj().put("version", result.version).putTexts("warnings", result.warnings)))
+                Response(200, Json.write(Json.newObject().put("version", result.version).putTexts("warnings", result.warnings)))
             is RulesStore.ApplyResult.Invalid ->
-                Response(422, Json.write(Json.obj().put("error", result.errors.first()).putTexts("errors", result.errors)))
+                Response(422, Json.write(Json.newObject().put("error", result.errors.first()).putTexts("errors", result.errors)))
             is RulesStore.ApplyResult.Conflict -> {
                 val error = "version ${result.version} is in force"
-                Response(409, Json.write(Json.obj().put("error", error).put("version", result.version)))
+                Response(409, Json.write(Json.newObject().put("error", error).put("version", result.version)))
             }
             RulesStore.ApplyResult.OutcomeUnknown ->
                 serviceUnavailable("not known to be in force: ask for the rules, then apply again")
--- a/src/main/kotlin/org/honeyjunction/app/RulesCommand.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RulesCommand.kt
@@ -9,7 +9,7 @@
 import org.honeyjunction.wire.MalformedException
 import org.honeyjunction.wire.Response
 import org.honeyjunction.wire.count
-import org.honeyjunction.wire.given
+import org.honeyjunction.wire.fieldOrNull
 import org.honeyjunction.wire.listOrEmpty
 import picocli.CommandLine.Command
 import picocli.CommandLine.Option
@@ -85,7 +85,7 @@
             val checked = document.check(0, null, file.toString(), topology?.toString() ?: "topology")
             (checked.errors + checked.warnings).forEach(System.err::println)
             if (checked.set == null) return Status.FAILED
-            val body = document.write(Json.obj()).apply { expect?.let { put("expect", it) } }
+            val body = document.write(Json.newObject()).apply { expect?.let { put("expect", it) } }
             val client = OperatorClient.at(at)
             val response = client.ask("POST", RulesApi.RULES_PATH, Json.write(body))
             if (response.status != 200) return refused(response)
@@ -100,7 +100,7 @@
     private fun isInForce(client: OperatorClient, version: Long): Boolean {
         repeat(POLLS) {
             val response = client.ask("GET", RulesApi.RULES_PATH)
-            val inForce = if (response.status == 200) Json.readObject(response.body).given("in_force")?.longValue() else null
+            val inForce = if (response.status == 200) Json.readObject(response.body).fieldOrNull("in_force")?.longValue() else null
             if (inForce != null && inForce >= version) return true
             Thread.sleep(POLL_MS)
         }
@@ -112,7 +112,7 @@
             try {
                 Json.readObject(response.body)
             } catch (_: MalformedException) {
-                Json.obj()
+                Json.newObject()
             }
         val errors = body.listOrEmpty("errors").mapNotNull { it.textValue() }.ifEmpty { listOf(OperatorClient.why(response)) }
         errors.forEach { System.err.println("honeyjunction: $it") }
@@ -137,16 +137,16 @@
             val response = OperatorClient.at(at).ask("GET", RulesApi.RULES_PATH)
             if (response.status != 200) return refused(response)
             val stored: ObjectNode = Json.readObject(response.body)
-            if (topology) return Status.OK.also { println(stored.given("topology")?.toPrettyString() ?: "{}") }
+            if (topology) return Status.OK.also { println(stored.fieldOrNull("topology")?.toPrettyString() ?: "{}") }
             val version = stored.count("version")
             val leaderNote =
-                when (val inForce = stored.given("in_force")?.longValue()) {
+                when (val inForce = stored.fieldOrNull("in_force")?.longValue()) {
                     null -> "; the leader does not answer"
                     version -> ""
                     else -> "; the leader still goes by version $inForce"
                 }
             println("# version $version$leaderNote")
-            print(stored.given("rules")?.textValue().orEmpty())
+            print(stored.fieldOrNull("rules")?.textValue().orEmpty())
             Status.OK
         }
 
--- a/src/main/kotlin/org/honeyjunction/app/RulesStore.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RulesStore.kt
@@ -44,7 +44,7 @@
     }
 
     private class Head(val version: Long, val hash: String, val chunks: Int) {
-        fun json() = Json.obj().put("version", version).put("hash", hash).put("parts", chunks)
+        fun json() = Json.newObject().put("version", version).put("hash", hash).put("parts", chunks)
     }
 
     private val log = LoggerFactory.getLogger(RulesStore::class.java)
--- a/src/main/kotlin/org/honeyjunction/app/Settings.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Settings.kt
@@ -13,7 +13,7 @@
 import org.honeyjunction.wire.amount
 import org.honeyjunction.wire.amountOrNull
 import org.honeyjunction.wire.count
-import org.honeyjunction.wire.given
+import org.honeyjunction.wire.fieldOrNull
 import org.honeyjunction.wire.list
 import org.honeyjunction.wire.listOrEmpty
 import org.honeyjunction.wire.text
@@ -62,7 +62,7 @@
             val workers = part(params, "workers", "params.")
             val state = part(params, "state", "params.")
             val cloud = part(params, "cloud", "params.")
-            val limits = params.given("machine_limits")
+            val limits = params.fieldOrNull("machine_limits")
             val sockets = within("params.machine_limits") { limits?.amountOrNull("max_sockets") }?.toInt() ?: DEFAULT_SOCKETS
             val peers = each(file.listOrEmpty("seeds"), "seeds") { Peer(it.text("host_name"), address(it, "address")) }
             val cluster = cluster(params, workers, state, sockets)
@@ -144,7 +144,7 @@
             )
 
         private fun part(parent: JsonNode, name: String, path: String = "") =
-            parent.given(name)?.takeIf { it.isObject } ?: invalid("$path$name")
+            parent.fieldOrNull(name)?.takeIf { it.isObject } ?: invalid("$path$name")
 
         private fun positive(part: JsonNode, name: String) = part.amount(name).takeIf { it > 0 } ?: invalid(name)
 
--- a/src/main/kotlin/org/honeyjunction/app/local/ExplanationCheck.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/ExplanationCheck.kt
@@ -8,8 +8,8 @@
 import org.honeyjunction.fake.HistoryChecker
 import org.honeyjunction.fake.ReferenceModel
 import org.honeyjunction.wire.Json
+import org.honeyjunction.wire.fieldOrNull
 import org.honeyjunction.wire.flag
-import org.honeyjunction.wire.given
 import org.honeyjunction.wire.list
 import org.honeyjunction.wire.text
 import org.honeyjunction.wire.textOrNull
@@ -28,7 +28,7 @@
         for ((id, start) in starts.toSortedMap()) {
             val task = explanationOf(id)
             // Placed by an earlier leader, which remembered why, or by an attempt that ended, as the fakes saw.
-            if (task?.given("decided_s_ago") == null || task.textOrNull("machine") != start.worker.name) {
+            if (task?.fieldOrNull("decided_s_ago") == null || task.textOrNull("machine") != start.worker.name) {
                 gone++
                 continue
             }
--- a/src/main/kotlin/org/honeyjunction/app/local/LocalCluster.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/LocalCluster.kt
@@ -112,7 +112,7 @@
      * against every start. Throws [MalformedException] with the reason where the service refuses them.
      */
     fun apply(document: RulesDocument): List<String> {
-        val response = OperatorClient(nodes).ask("POST", RulesApi.RULES_PATH, Json.write(document.write(Json.obj())))
+        val response = OperatorClient(nodes).ask("POST", RulesApi.RULES_PATH, Json.write(document.write(Json.newObject())))
         if (response.status != 200) throw MalformedException(OperatorClient.why(response))
         val answer = Json.readObject(response.body)
         val set = checkNotNull(document.check(answer.count("version")).set)
--- a/src/main/kotlin/org/honeyjunction/app/local/LocalSettings.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/LocalSettings.kt
@@ -15,7 +15,7 @@
 import org.honeyjunction.wire.amount
 import org.honeyjunction.wire.amountOrNull
 import org.honeyjunction.wire.count
-import org.honeyjunction.wire.given
+import org.honeyjunction.wire.fieldOrNull
 import org.honeyjunction.wire.list
 import org.honeyjunction.wire.text
 
@@ -32,7 +32,7 @@
         }
 
     private fun type(t: JsonNode): MachineType {
-        val offered = if (zones.isEmpty() || t.given("zones") == null) zones else t.list("zones").map { it.textValue() }
+        val offered = if (zones.isEmpty() || t.fieldOrNull("zones") == null) zones else t.list("zones").map { it.textValue() }
         // A file's zones that are not those of the command line are as good as any.
         val here = offered.filter { it in zones }.ifEmpty { zones }
         return MachineType(
@@ -51,7 +51,7 @@
     fun forNode(number: Int, listen: List<String>, peers: List<String>, state: String, cloud: String): Settings {
         val o =
             Json
-                .obj()
+                .newObject()
                 .put(
                     "host_name",
                     name(number),
@@ -73,7 +73,7 @@
 
     /** For a day in virtual time: the first of the types, and teams whose limits grow with the fleet. */
     fun setup(): ClusterSetup {
-        val w = params.given("workers") ?: throw MalformedException("workers is missing")
+        val w = params.fieldOrNull("workers") ?: throw MalformedException("workers is missing")
         val type =
             types.firstOrNull { it.size.gpus > 0 } ?: throw MalformedException("machine_types: a day in virtual time needs one with gpus")
         val teams = params.list("teams").map { it.text("name") }.ifEmpty { throw MalformedException("teams is empty") }
@@ -119,8 +119,8 @@
     fun name(number: Int) = "hive-$number"
 
     fun loopback(sample: Settings): LoopbackSettings {
-        val w = params.given("workers") ?: throw MalformedException("workers is missing")
-        val s = params.given("state") ?: throw MalformedException("state is missing")
+        val w = params.fieldOrNull("workers") ?: throw MalformedException("workers is missing")
+        val s = params.fieldOrNull("state") ?: throw MalformedException("state is missing")
         return LoopbackSettings(
             zones,
             sample.cluster.teams,
--- a/src/main/kotlin/org/honeyjunction/app/local/RegisteredJobs.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/RegisteredJobs.kt
@@ -22,7 +22,7 @@
     fun register() = documents.forEach { register(it) }
 
     fun register(document: JobDocument): Response {
-        val r = client.ask("POST", "/v1/jobs", Json.write(Json.obj().set<ObjectNode>("Job", document.json)))
+        val r = client.ask("POST", "/v1/jobs", Json.write(Json.newObject().set<ObjectNode>("Job", document.json)))
         val id = document.json.path("ID").asText()
         if (r.status == 200) taken += id to document.json.path("Namespace").asText("default")
         say(
--- a/src/main/kotlin/org/honeyjunction/app/nomad/JobCommand.kt
+++ b/src/main/kotlin/org/honeyjunction/app/nomad/JobCommand.kt
@@ -114,7 +114,7 @@
             val f = o.read()
             val good = f.good(o.strict)
             if (json) {
-                val out = Json.obj().put("good", good)
+                val out = Json.newObject().put("good", good)
                 val list = out.putArray("findings")
                 f.meant.findings.forEach {
                     list
@@ -186,7 +186,7 @@
         val server = ServerOptions()
         server.at = at
         server.namespace = job.namespace
-        val response = server.ask("POST", "/v1/job/${ServerOptions.code(job.id)}/plan", Json.obj().set("Job", file.document.json))
+        val response = server.ask("POST", "/v1/job/${ServerOptions.code(job.id)}/plan", Json.newObject().set("Job", file.document.json))
         if (response.status != 200) return ServerOptions.refused(response)
         val plan = Json.readObject(response.body)
         println("\n${plan.path("Diff").path("Type").asText()} at modify index ${plan.path("JobModifyIndex").asLong()}")
@@ -220,7 +220,7 @@
             if (!o.good(f)) return Status.FAILED
             val job = f.meant.job!!
             server.namespace = job.namespace
-            val body = Json.obj().apply { set<JsonNode>("Job", f.document.json) }
+            val body = Json.newObject().apply { set<JsonNode>("Job", f.document.json) }
             index?.let { body.put("EnforceIndex", true).put("JobModifyIndex", it) }
             val r = server.ask("POST", "/v1/jobs", body)
             if (r.status != 200) return ServerOptions.refused(r)
@@ -332,7 +332,7 @@
             if (!o.good(f)) return Status.FAILED
             val job = f.meant.job!!
             when (to) {
-                "json" -> println(Json.obj().set<ObjectNode>("Job", f.document.json).toPrettyString())
+                "json" -> println(Json.newObject().set<ObjectNode>("Job", f.document.json).toPrettyString())
                 "native" -> println(JobFiles.protocol(f.native(job)).toPrettyString())
                 "local" -> println(JobFiles.loopback(f.native(job)).toPrettyString())
                 else -> print(f.rules(job))
--- a/src/main/kotlin/org/honeyjunction/app/nomad/JobFiles.kt
+++ b/src/main/kotlin/org/honeyjunction/app/nomad/JobFiles.kt
@@ -54,11 +54,11 @@
         }
 
         /** As the users' interface takes them. */
-        fun protocol(specs: List<JobSpec>): JsonNode = Json.arr().also { list -> specs.forEach { list.add(JobCodec.write(it)) } }
+        fun protocol(specs: List<JobSpec>): JsonNode = Json.newArray().also { list -> specs.forEach { list.add(JobCodec.write(it)) } }
 
         /** As the cluster on loopback takes them: tasks run for as long as they are estimated to. */
         fun loopback(specs: List<JobSpec>): ObjectNode =
-            Json.obj().apply {
+            Json.newObject().apply {
                 val jobs = putArray("jobs")
                 for (s in specs) {
                     jobs.addObject().apply {
--- a/src/main/kotlin/org/honeyjunction/app/nomad/NativeStatus.kt
+++ b/src/main/kotlin/org/honeyjunction/app/nomad/NativeStatus.kt
@@ -46,7 +46,7 @@
 
     private fun tasks(ids: List<String>): ByteArray {
         val state = node.certainLeader?.leader?.state
-        val o = Json.obj()
+        val o = Json.newObject()
         var left = MOST_TASKS
         for (id in ids) {
             val job = state?.job(id) ?: continue
@@ -71,7 +71,7 @@
 
     private fun machines(all: Collection<Machine>): ByteArray {
         val cluster = node.settings.cluster
-        val list = Json.arr()
+        val list = Json.newArray()
         all.filter { it.phase != MachinePhase.GONE && it.type >= 0 && it.zone >= 0 }.take(MOST_MACHINES).forEach { m ->
             list
                 .addObject()
@@ -84,7 +84,7 @@
                 .put("phase", m.phase.wireName)
                 .put("tasks", m.placements.size)
         }
-        return Json.write(Json.obj().set("machines", list))
+        return Json.write(Json.newObject().set("machines", list))
     }
 
     private suspend fun ask(path: String, body: ByteArray): ObjectNode? {
@@ -97,7 +97,7 @@
     suspend fun jobs(ids: List<String>): Map<String, NativeJob>? {
         val known = HashMap<String, NativeJob>()
         for (some in ids.chunked(CHUNK)) {
-            val o = ask(TASKS, Json.write(Json.obj().apply { putArray("ids").also { a -> some.forEach(a::add) } })) ?: return null
+            val o = ask(TASKS, Json.write(Json.newObject().apply { putArray("ids").also { a -> some.forEach(a::add) } })) ?: return null
             o.properties().forEach { (id, j) ->
                 val tasks =
                     j
--- a/src/main/kotlin/org/honeyjunction/app/nomad/NomadApi.kt
+++ b/src/main/kotlin/org/honeyjunction/app/nomad/NomadApi.kt
@@ -13,7 +13,7 @@
 import org.honeyjunction.wire.MalformedException
 import org.honeyjunction.wire.Request
 import org.honeyjunction.wire.Response
-import org.honeyjunction.wire.given
+import org.honeyjunction.wire.fieldOrNull
 import java.io.IOException
 import java.net.URLDecoder
 
@@ -90,16 +90,16 @@
                     "leader" -> json(Json.text(node.leaderName?.let { "$it:4647" }.orEmpty()))
                     "peers" ->
                         json(
-                            Json.arr().also { a ->
+                            Json.newArray().also { a ->
                                 (node.settings.peers.map { it.name } + node.settings.node).sorted().forEach { n -> a.add("$n:4647") }
                             },
                         )
                     else -> throw Told(404, "not found")
                 }
-            "regions" -> json(Json.arr().add("global"))
+            "regions" -> json(Json.newArray().add("global"))
             "namespaces" ->
                 json(
-                    Json.arr().also { a ->
+                    Json.newArray().also { a ->
                         (registry.all.map { it.head.namespace } + "default").distinct().sorted().forEach { n ->
                             a.addObject().put("Name", n)
                         }
@@ -129,7 +129,7 @@
             "summary" -> live(c) { views.summary(find(c, id)) }
             "evaluations" -> blocking(c, { find(c, id).version }) { views.evaluations(find(c, id)) }
             "versions" -> blocking(c, { find(c, id).version }) { views.versions(find(c, id)) }
-            else -> json(Json.arr())
+            else -> json(Json.newArray())
         }
     }
 
@@ -175,7 +175,7 @@
 
     private fun read(c: Call, id: String?): Pair<ObjectNode, JobDocument> {
         val o = Json.readObject(c.body)
-        val job = o.given("Job") as? ObjectNode ?: throw Told(400, "Job must be specified")
+        val job = o.fieldOrNull("Job") as? ObjectNode ?: throw Told(400, "Job must be specified")
         // The name is what the file says; the path must not say otherwise.
         val document = JobReader.read(job)
         val own = document.json.path("ID").textValue()
@@ -188,7 +188,7 @@
         val enforce = if (o.path("EnforceIndex").asBoolean()) o.path("JobModifyIndex").asLong() else null
         return answer(registry.register(document, enforce)) { kept, warnings ->
             Json
-                .obj()
+                .newObject()
                 .put(
                     "EvalID",
                     Views.evaluationId(kept, kept.head.latest),
@@ -211,7 +211,7 @@
             outcome,
         ) { kept, _ ->
             Json
-                .obj()
+                .newObject()
                 .put(
                     "EvalID",
                     Views.evaluationId(kept, kept.head.latest),
@@ -224,11 +224,11 @@
     private suspend fun dispatch(c: Call, id: String): Response {
         registry.refresh()
         val o = Json.readObject(c.body)
-        val meta = o.given("Meta")?.properties().orEmpty().associate { (k, v) -> k to v.asText() }
+        val meta = o.fieldOrNull("Meta")?.properties().orEmpty().associate { (k, v) -> k to v.asText() }
         val outcome =
             registry.dispatch(
                 find(c, id),
-                o.given("Payload")?.textValue()?.ifEmpty {
+                o.fieldOrNull("Payload")?.textValue()?.ifEmpty {
                     null
                 },
                 meta,
@@ -236,7 +236,7 @@
             )
         return answer(outcome) { kept, _ ->
             Json
-                .obj()
+                .newObject()
                 .put(
                     "DispatchedJobID",
                     kept.head.id,
@@ -258,8 +258,16 @@
 
     private fun parse(c: Call): Response {
         val o = Json.readObject(c.body)
-        val text = o.given("JobHCL")?.textValue() ?: throw Told(400, "Job spec is empty")
-        val values = VariableValues(listOfNotNull(o.given("Variables")?.textValue()?.takeIf { it.isNotBlank() }?.let { "Variables" to it }))
+        val text = o.fieldOrNull("JobHCL")?.textValue() ?: throw Told(400, "Job spec is empty")
+        val values =
+            VariableValues(
+                listOfNotNull(
+                    o.fieldOrNull("Variables")?.textValue()?.takeIf { it.isNotBlank() }?.let {
+                        "Variables" to
+                            it
+                    },
+                ),
+            )
         val document = JobReader.read(text, values)
         if (document.errors.isNotEmpty()) return text(400, document.errors.joinToString("\n") { it.at("job") })
         return json(document.json)
@@ -269,7 +277,7 @@
         val meant = Meaning(read(c, null).second, registry.site()).read()
         val o =
             Json
-                .obj()
+                .newObject()
                 .put("DriverConfigValidated", true)
                 .put(
                     "Error",
--- a/src/main/kotlin/org/honeyjunction/app/nomad/Views.kt
+++ b/src/main/kotlin/org/honeyjunction/app/nomad/Views.kt
@@ -20,7 +20,7 @@
         registry.all.filter { !it.head.purge && (namespace == "*" || it.head.namespace == namespace) }.sortedBy { it.head.id }
 
     fun jobs(namespace: String, prefix: String): ArrayNode =
-        Json.arr().also { list ->
+        Json.newArray().also { list ->
             shown(namespace).filter { it.head.id.startsWith(prefix) }.forEach { k ->
                 list
                     .addObject()
@@ -82,7 +82,7 @@
         }
 
     suspend fun versions(k: KeptHead): JsonNode {
-        val o = Json.obj()
+        val o = Json.newObject()
         val list = o.putArray("Versions")
         for (v in k.head.versions.reversed()) list.add(describe(registry.document(k.head, v), k, v))
         return o
@@ -98,7 +98,7 @@
     suspend fun allocations(of: KeptHead?): ArrayNode? {
         val all = (of?.let { listOf(it) } ?: shown("*")).map { it to pieces(it.head) }
         val known = status.jobs(all.flatMap { (_, pieces) -> pieces.map { it.second.id } }) ?: return null
-        return Json.arr().also { list ->
+        return Json.newArray().also { list ->
             for ((k, pieces) in all) {
                 for ((v, p) in pieces) {
                     known[p.id]?.let { n ->
@@ -118,7 +118,7 @@
                 else -> "pending"
             }
         return Json
-            .obj()
+            .newObject()
             .put(
                 "ID",
                 uuid("alloc/${p.id}/${t.number}"),
@@ -150,7 +150,7 @@
     suspend fun summary(k: KeptHead): JsonNode? {
         val all = pieces(k.head)
         val known = status.jobs(all.map { it.second.id }) ?: return null
-        val o = Json.obj().put("JobID", k.head.id).put("Namespace", k.head.namespace).put("ModifyIndex", k.version)
+        val o = Json.newObject().put("JobID", k.head.id).put("Namespace", k.head.namespace).put("ModifyIndex", k.version)
         val groups = o.putObject("Summary")
         for ((group, of) in all.map { it.second }.groupBy { it.group }) {
             val there = of.map { it to known[it.id] }
@@ -193,7 +193,7 @@
     }
 
     fun evaluations(of: KeptHead?): ArrayNode =
-        Json.arr().also { list ->
+        Json.newArray().also { list ->
             (of?.let { listOf(it) } ?: shown("*")).forEach { k -> k.head.versions.reversed().forEach { list.add(evaluation(k, it)) } }
         }
 
@@ -214,7 +214,7 @@
                 VersionState.LIVE, VersionState.STOPPED, VersionState.PURGED -> "complete"
             }
         return Json
-            .obj()
+            .newObject()
             .put(
                 "ID",
                 evaluationId(k, v),
@@ -240,7 +240,7 @@
 
     suspend fun nodes(): ArrayNode? =
         status.machines()?.let { all ->
-            Json.arr().also { list ->
+            Json.newArray().also { list ->
                 all.sortedBy { it.name }.forEach { m ->
                     list
                         .addObject()
@@ -277,7 +277,7 @@
         }
 
     fun self(): JsonNode =
-        Json.obj().apply {
+        Json.newObject().apply {
             putObject(
                 "config",
             ).put("Datacenter", node.settings.cluster.zones.name(0)).put("Region", "global").put("NodeName", node.settings.node)
@@ -287,7 +287,7 @@
 
     /** What a registration would change, group by group. */
     suspend fun plan(job: NomadJob, digest: String, old: KeptHead?, warnings: List<Finding>): JsonNode {
-        val o = Json.obj().put("JobModifyIndex", old?.version ?: 0).put("Warnings", warnings.joinToString("\n") { it.at("job") })
+        val o = Json.newObject().put("JobModifyIndex", old?.version ?: 0).put("Warnings", warnings.joinToString("\n") { it.at("job") })
         val latest = old?.head?.latest?.takeIf { it.state != VersionState.STOPPED }
         o
             .putObject("Diff")
--- a/src/main/kotlin/org/honeyjunction/fake/CloudServer.kt
+++ b/src/main/kotlin/org/honeyjunction/fake/CloudServer.kt
@@ -5,8 +5,8 @@
 import org.honeyjunction.io.EventLoop
 import org.honeyjunction.io.HttpServer
 import org.honeyjunction.wire.CloudCodec
+import org.honeyjunction.wire.CounterpartCodec
 import org.honeyjunction.wire.MalformedException
-import org.honeyjunction.wire.OtherSide
 import org.honeyjunction.wire.Request
 import org.honeyjunction.wire.Response
 
@@ -27,7 +27,7 @@
         if (cloud.down) return Response(503, "{\"error\":\"trouble\"}".toByteArray())
         return try {
             when (r.path) {
-                "/machine_types" -> Response(200, OtherSide.types(types, zones))
+                "/machine_types" -> Response(200, CounterpartCodec.machineTypes(types, zones))
                 "/rentals" -> if (r.method == "POST") rent(r) else list(r)
                 "/rentals/release" -> {
                     val names = CloudCodec.readNames(r.body)
@@ -43,9 +43,9 @@
     }
 
     private fun rent(r: Request): Response {
-        val call = OtherSide.rental(r.body)
+        val call = CounterpartCodec.scaleOutRequest(r.body)
         val names =
-            cloud.rent(call.name, call.type, call.zone, call.spot, call.count, now())
+            cloud.rent(call.requestId, call.type, call.zone, call.spot, call.count, now())
                 ?: return Response(503, "{\"error\":\"no capacity\"}".toByteArray())
         return Response(200, CloudCodec.names(names))
     }
@@ -53,7 +53,7 @@
     private fun list(r: Request): Response {
         val since = Regex("Since=([^&]+)").find(r.target)?.groupValues?.get(1).orEmpty()
         val all = cloud.list(now()).filter { it.name > since }.sortedBy { it.name }
-        return Response(200, OtherSide.machines(all.take(MAX_LIST), { cloud.isUp(it, now()) }, all.size > MAX_LIST))
+        return Response(200, CounterpartCodec.instancePage(all.take(MAX_LIST), { cloud.isUp(it, now()) }, all.size > MAX_LIST))
     }
 
     private companion object {
--- a/src/main/kotlin/org/honeyjunction/fake/FakeUsers.kt
+++ b/src/main/kotlin/org/honeyjunction/fake/FakeUsers.kt
@@ -7,10 +7,10 @@
 import org.honeyjunction.io.Connections
 import org.honeyjunction.io.EventLoop
 import org.honeyjunction.io.HttpClient
+import org.honeyjunction.wire.CounterpartCodec
 import org.honeyjunction.wire.JobCodec
 import org.honeyjunction.wire.Json
 import org.honeyjunction.wire.MalformedException
-import org.honeyjunction.wire.OtherSide
 import org.honeyjunction.wire.Response
 import java.io.IOException
 
@@ -94,7 +94,7 @@
         val answer =
             when (r.status) {
                 200, 201 ->
-                    when (OtherSide.stage(r.body)) {
+                    when (CounterpartCodec.jobState(r.body)) {
                         "done" -> Answer.DONE
                         "cancelled" -> Answer.CANCELLED
                         else -> Answer.ACTIVE
--- a/src/main/kotlin/org/honeyjunction/fake/JobFile.kt
+++ b/src/main/kotlin/org/honeyjunction/fake/JobFile.kt
@@ -9,8 +9,8 @@
 import org.honeyjunction.wire.amount
 import org.honeyjunction.wire.amountOrNull
 import org.honeyjunction.wire.count
+import org.honeyjunction.wire.fieldOrNull
 import org.honeyjunction.wire.flagOr
-import org.honeyjunction.wire.given
 import org.honeyjunction.wire.list
 import org.honeyjunction.wire.text
 import org.honeyjunction.wire.textOrNull
@@ -57,8 +57,8 @@
         o.list("jobs").forEachIndexed { i, j ->
             try {
                 (j.properties().firstOrNull { it.key !in known })?.let { throw MalformedException("there is no field ${it.key}") }
-                val copies = if (j.given("copies") == null) 1 else j.count("copies").toInt()
-                repeat(copies) { jobs += job(j, jobs.size + 1, if (copies > 1 || j.given("id") == null) null else j.text("id")) }
+                val copies = if (j.fieldOrNull("copies") == null) 1 else j.count("copies").toInt()
+                repeat(copies) { jobs += job(j, jobs.size + 1, if (copies > 1 || j.fieldOrNull("id") == null) null else j.text("id")) }
             } catch (e: MalformedException) {
                 throw MalformedException("jobs[$i]: ${e.message}")
             }
@@ -86,7 +86,7 @@
                 Resources(j.amountOrNull("cpus") ?: 0.0, j.amountOrNull("gpus") ?: 0.0, j.amountOrNull("memory_gb") ?: 0.0),
                 j.text("image"),
                 j.amount("image_gb"),
-                j.given("types")?.let { _ ->
+                j.fieldOrNull("types")?.let { _ ->
                     j.list("types").map { it.textValue() }
                 },
                 j.textOrNull("zone"),
@@ -111,7 +111,7 @@
     }
 
     private fun <E : Enum<E>> word(o: JsonNode, name: String, all: List<E>, otherwise: E?): E {
-        if (otherwise != null && o.given(name) == null) return otherwise
+        if (otherwise != null && o.fieldOrNull(name) == null) return otherwise
         val text = o.text(name)
         return all.firstOrNull { it.name.lowercase() == text }
             ?: throw MalformedException("$name is none of ${all.joinToString { it.name.lowercase() }}")
--- a/src/main/kotlin/org/honeyjunction/fake/LoopbackCluster.kt
+++ b/src/main/kotlin/org/honeyjunction/fake/LoopbackCluster.kt
@@ -9,7 +9,7 @@
 import org.honeyjunction.io.EventLoop
 import org.honeyjunction.io.HttpClient
 import org.honeyjunction.wire.JobCodec
-import org.honeyjunction.wire.given
+import org.honeyjunction.wire.fieldOrNull
 import java.io.IOException
 import java.util.Random
 
@@ -169,11 +169,11 @@
 
     /** The index of the node that holds the leader lease, by the state service; null: none. */
     fun leader(): Int? =
-        store[LEAD]?.value?.given("holder")?.let { h ->
+        store[LEAD]?.value?.fieldOrNull("holder")?.let { h ->
             nodes.indexOfFirst { it.first == h.textValue() }.takeIf { it >= 0 }
         }
 
-    fun term(): Long = store[TERM]?.value?.given(TERM)?.longValue() ?: 0
+    fun term(): Long = store[TERM]?.value?.fieldOrNull(TERM)?.longValue() ?: 0
 
     fun refuse(node: Int, forMs: Long) {
         stateServers[node].refusedUntil = now() + forMs
--- a/src/main/kotlin/org/honeyjunction/fake/StateServer.kt
+++ b/src/main/kotlin/org/honeyjunction/fake/StateServer.kt
@@ -5,8 +5,8 @@
 import org.honeyjunction.io.ANY_PORT
 import org.honeyjunction.io.EventLoop
 import org.honeyjunction.io.HttpServer
+import org.honeyjunction.wire.CounterpartCodec
 import org.honeyjunction.wire.MalformedException
-import org.honeyjunction.wire.OtherSide
 import org.honeyjunction.wire.Request
 import org.honeyjunction.wire.Response
 import java.util.Random
@@ -59,7 +59,11 @@
         when {
             r.path == "/changes" -> changes(query)
             r.path == "/commit" -> commit(r)
-            r.path == "/leases" -> Response(200, OtherSide.lease(store.grant(OtherSide.lifeMs(r.body).coerceIn(100, 600_000), now())))
+            r.path == "/leases" ->
+                Response(
+                    200,
+                    CounterpartCodec.lease(store.grant(CounterpartCodec.leaseTtlMs(r.body).coerceIn(100, 600_000), now())),
+                )
             r.path.startsWith("/leases/") -> lease(r)
             r.path == "/store" -> range(query)
             r.path.startsWith("/store/") -> get(r.path.removePrefix("/store/"))
@@ -68,13 +72,22 @@
 
     private fun get(key: String): Response {
         store.expire(now())
-        val kept = store[key] ?: return Response(404, OtherSide.revision(store.revision))
-        return Response(200, OtherSide.entry(key, kept.value, kept.version, kept.lease))
+        val kept = store[key] ?: return Response(404, CounterpartCodec.revision(store.revision))
+        return Response(200, CounterpartCodec.entry(key, kept.value, kept.version, kept.lease))
     }
 
     private fun range(query: Map<String, String>): Response {
         val (rows, more) = store.range(query["Starts"].orEmpty(), query["Since"], query["Most"]?.toIntOrNull() ?: 1000)
-        return Response(200, OtherSide.rows(rows.map { (key, kept) -> Triple(key, kept.value, kept.version) }, more, store.revision))
+        return Response(
+            200,
+            CounterpartCodec.entryPage(
+                rows.map { (key, kept) ->
+                    Triple(key, kept.value, kept.version)
+                },
+                more,
+                store.revision,
+            ),
+        )
     }
 
     private fun lease(r: Request): Response {
@@ -88,8 +101,8 @@
 
     /** Some transactions lose their answer, and some are applied much later, if their conditions still hold. */
     private suspend fun commit(r: Request): Response {
-        val call = OtherSide.commit(r.body)
-        val puts = call.puts.map { (key, value, lease) -> FakeKeyValueStore.Put(key, value, lease) }
+        val call = CounterpartCodec.commit(r.body)
+        val puts = call.writes.map { (key, value, lease) -> FakeKeyValueStore.Put(key, value, lease) }
         if (now() < lateUntil && random.nextDouble() < Fault.SHARE) return late(call.conditions, puts)
         val lost = now() < unansweredUntil && random.nextDouble() < Fault.SHARE
         val fate = random.nextInt(FATES)
@@ -111,8 +124,8 @@
 
     private fun told(outcome: FakeKeyValueStore.Commit) =
         when (outcome) {
-            is FakeKeyValueStore.Commit.Applied -> Response(200, OtherSide.revision(outcome.revision))
-            is FakeKeyValueStore.Commit.Conflict -> Response(409, OtherSide.conflict(outcome.failed, outcome.revision))
+            is FakeKeyValueStore.Commit.Applied -> Response(200, CounterpartCodec.revision(outcome.revision))
+            is FakeKeyValueStore.Commit.Conflict -> Response(409, CounterpartCodec.conflict(outcome.failed, outcome.revision))
             is FakeKeyValueStore.Commit.Malformed -> Response(400, "{\"error\":\"${outcome.why}\"}".toByteArray())
             FakeKeyValueStore.Commit.OverLimit -> Response(429)
         }
@@ -141,7 +154,7 @@
             if (!shut) {
                 val changes = store.changes(prefix, since, now()) ?: return Response(410)
                 if (changes.isNotEmpty() || now() >= until) {
-                    return Response(200, OtherSide.changes(changes.map { Triple(it.key, it.value, it.version) }, store.revision))
+                    return Response(200, CounterpartCodec.changes(changes.map { Triple(it.key, it.value, it.version) }, store.revision))
                 }
             }
             delay(STEP_MS)
--- a/src/main/kotlin/org/honeyjunction/fake/WorkerHost.kt
+++ b/src/main/kotlin/org/honeyjunction/fake/WorkerHost.kt
@@ -10,8 +10,8 @@
 import org.honeyjunction.io.EventLoop
 import org.honeyjunction.io.HttpClient
 import org.honeyjunction.io.HttpServer
+import org.honeyjunction.wire.CounterpartCodec
 import org.honeyjunction.wire.MalformedException
-import org.honeyjunction.wire.OtherSide
 import org.honeyjunction.wire.Request
 import org.honeyjunction.wire.Response
 import java.io.IOException
@@ -59,17 +59,17 @@
             return Response(503, close = true)
         }
         worker.advance(now())
-        if (r.path == "/status") return Response(200, OtherSide.heartbeat(worker.report()))
+        if (r.path == "/status") return Response(200, CounterpartCodec.heartbeat(worker.report()))
         if (r.path != "/commands" || r.method != "POST") return Response(404)
         val call =
             try {
-                OtherSide.commands(r.body)
+                CounterpartCodec.commands(r.body)
             } catch (e: MalformedException) {
                 return Response(400, "{\"error\":\"${e.message}\"}".toByteArray())
             }
         if (call.token < 0 || call.session < 0) return Response(400)
         val done = worker.command(call.token, call.session, call.commands, now())
-        return Response(if (done) 200 else 409, OtherSide.heartbeat(worker.report()))
+        return Response(if (done) 200 else 409, CounterpartCodec.heartbeat(worker.report()))
     }
 
     private suspend fun reportAll() {
@@ -94,7 +94,7 @@
     private suspend fun report(): Boolean {
         val sentAt = now()
         val report = worker.report()
-        val body = OtherSide.heartbeat(report)
+        val body = CounterpartCodec.heartbeat(report)
         if (now() < worker.cutUntil) {
             // A report that a cut holds back arrives late; its answer comes too late for the worker.
             scope.launch {
@@ -127,12 +127,12 @@
         return when (answer.status) {
             200 -> {
                 if (worker.silent(now())) return true
-                val call = OtherSide.commands(answer.body)
+                val call = CounterpartCodec.commands(answer.body)
                 worker.answered(sentAt, report.session, call.token, call.commands, now())
                 true
             }
             421 -> {
-                val to = OtherSide.redirect(answer.body)?.let { name -> nodes.indexOfFirst { it.first == name } } ?: -1
+                val to = CounterpartCodec.redirect(answer.body)?.let { name -> nodes.indexOfFirst { it.first == name } } ?: -1
                 if (to < 0 || to == node) return false
                 node = to
                 delay(random.nextInt(REDIRECT_MS).toLong())
--- a/src/main/kotlin/org/honeyjunction/io/HttpClient.kt
+++ b/src/main/kotlin/org/honeyjunction/io/HttpClient.kt
@@ -16,7 +16,7 @@
 
 /** HTTP client of one address; [connections] may be shared with other addresses. A response's body has [bodyLimit] bytes at most. */
 class HttpClient(private val connections: Connections, private val address: String, bodyLimit: Int = 4 * 1024 * 1024) {
-    private val limits = HttpLimits(body = bodyLimit)
+    private val limits = HttpLimits(maxBodyBytes = bodyLimit)
 
     /**
      * Sends one request and waits up to [timeoutMs] for the response.
@@ -50,8 +50,8 @@
             if (!still()) throw NoAnswerException("not sent to $address: it is over")
             channel.write(HttpWriter.request(address, request))
             val message = read(channel)
-            val status = message.start[1].toIntOrNull() ?: throw IOException("bad status")
-            reusable = !message.closes
+            val status = message.startLine[1].toIntOrNull() ?: throw IOException("bad status")
+            reusable = !message.closesConnection
             if (reusable) connections.keep(address, channel)
             return Response(status, message.body, message.headers["retry-after"]?.toIntOrNull())
         } finally {
@@ -66,11 +66,11 @@
             buffer.clear()
             val count = channel.read(buffer)
             buffer.flip()
-            val outcome = if (count < 0) parser.end() else parser.feed(buffer)
+            val outcome = if (count < 0) parser.endOfStream() else parser.feed(buffer)
             when (outcome) {
-                is HttpParser.Done -> return outcome.message
+                is HttpParser.Complete -> return outcome.message
                 is HttpParser.Failed -> throw IOException(outcome.reason)
-                is HttpParser.More -> Unit
+                is HttpParser.Incomplete -> Unit
             }
         }
     }
--- a/src/main/kotlin/org/honeyjunction/io/HttpServer.kt
+++ b/src/main/kotlin/org/honeyjunction/io/HttpServer.kt
@@ -28,7 +28,7 @@
     private val loop: EventLoop,
     private val maxConnections: Int,
     private val mayClose: (Request) -> Boolean,
-    private val mostBytes: Int = HttpLimits().body,
+    private val mostBytes: Int = HttpLimits().maxBodyBytes,
     private val handle: suspend (Request) -> Response,
 ) {
     private val log = LoggerFactory.getLogger(HttpServer::class.java)
@@ -86,12 +86,12 @@
     }
 
     private suspend fun serve(channel: Link) {
-        val parser = HttpParser(HttpParser.Kind.REQUEST, HttpLimits(body = mostBytes))
+        val parser = HttpParser(HttpParser.Kind.REQUEST, HttpLimits(maxBodyBytes = mostBytes))
         val buffer = ByteBuffer.allocate(BUFFER_BYTES)
         buffer.flip()
         while (true) {
             when (val outcome = readRequest(channel, parser, buffer) ?: return) {
-                is HttpParser.Done -> {
+                is HttpParser.Complete -> {
                     val keepOpen = respond(channel, outcome.message)
                     if (!keepOpen) return
                 }
@@ -99,7 +99,7 @@
                     write(channel, Response(outcome.status, close = true))
                     return
                 }
-                is HttpParser.More -> Unit
+                is HttpParser.Incomplete -> Unit
             }
         }
     }
@@ -108,9 +108,9 @@
     private suspend fun readRequest(channel: Link, parser: HttpParser, buffer: ByteBuffer): HttpParser.Outcome? {
         var outcome = parser.feed(buffer)
         val deadline = loop.clock.steady() + MESSAGE_TIMEOUT_MS
-        while (outcome is HttpParser.More) {
+        while (outcome is HttpParser.Incomplete) {
             buffer.clear()
-            val timeoutMs = if (parser.midway) deadline - loop.clock.steady() else IDLE_TIMEOUT_MS
+            val timeoutMs = if (parser.isMidMessage) deadline - loop.clock.steady() else IDLE_TIMEOUT_MS
             val count =
                 try {
                     withTimeout(maxOf(timeoutMs, 1)) { channel.read(buffer) }
@@ -126,10 +126,10 @@
 
     /** Answers one request; returns whether the connection stays open. */
     private suspend fun respond(channel: Link, message: HttpMessage): Boolean {
-        val request = Request(message.start[0], message.start[1], message.body)
+        val request = Request(message.startLine[0], message.startLine[1], message.body)
         budget.requestStarted(channel)
         val response = answer(request)
-        val close = message.closes || response.close || !budget.requestFinished(channel, mayClose(request))
+        val close = message.closesConnection || response.close || !budget.requestFinished(channel, mayClose(request))
         write(channel, Response(response.status, response.body, response.retryAfterS, close, response.headers))
         return !close
     }
--- a/src/main/kotlin/org/honeyjunction/io/KeyValueClient.kt
+++ b/src/main/kotlin/org/honeyjunction/io/KeyValueClient.kt
@@ -3,7 +3,7 @@
 import org.honeyjunction.wire.ChangeBatch
 import org.honeyjunction.wire.Condition
 import org.honeyjunction.wire.Entry
-import org.honeyjunction.wire.StateCodec
+import org.honeyjunction.wire.KeyValueCodec
 import org.honeyjunction.wire.Write
 
 /** All entries of a scan; [revision] is that of its first page, from which [KeyValueClient.changes] can go on. */
@@ -44,9 +44,9 @@
 
     /** The entry at [key]; version 0 and no value when there is none. */
     suspend fun get(key: String): Entry {
-        val response = requests.send("GET", StateCodec.entryPath(key))
+        val response = requests.send("GET", KeyValueCodec.entryPath(key))
         return when (response.status) {
-            KeyValueRequests.OK -> parseResponse { StateCodec.entry(response.body) }
+            KeyValueRequests.OK -> parseResponse { KeyValueCodec.entry(response.body) }
             KeyValueRequests.NOT_FOUND -> Entry(key, null, 0, null)
             else -> throw StateUnavailableException("state service: ${response.status}")
         }
@@ -57,13 +57,13 @@
         val found = HashSet<String>()
         while (found.size < keys.size) {
             val absentConditions = keys.filter { it !in found }.map { Condition(it, 0) }
-            val response = requests.send("POST", KeyValueRequests.COMMIT, StateCodec.commit(absentConditions, emptyList()))
+            val response = requests.send("POST", KeyValueRequests.COMMIT, KeyValueCodec.commit(absentConditions, emptyList()))
             if (response.status != KeyValueRequests.CONFLICT) {
                 requireOk(response)
                 break
             }
             // The store may name one failed condition or all of them: only success proves that the rest is absent.
-            val failedKeys = parseResponse { StateCodec.failed(response.body) }
+            val failedKeys = parseResponse { KeyValueCodec.failedKeys(response.body) }
             if (!found.addAll(failedKeys)) throw StateUnavailableException("state service: a refusal that names no key")
         }
         return found
@@ -74,9 +74,9 @@
         val entries = ArrayList<Entry>()
         var firstRevision: Long? = null
         while (true) {
-            val path = StateCodec.scanPath(prefix, after = entries.lastOrNull()?.key, limit = SCAN_PAGE_ENTRIES)
+            val path = KeyValueCodec.scanPath(prefix, after = entries.lastOrNull()?.key, limit = SCAN_PAGE_ENTRIES)
             val response = requests.send("GET", path)
-            val page = parseResponse { StateCodec.page(requireOk(response).body) }
+            val page = parseResponse { KeyValueCodec.entryPage(requireOk(response).body) }
             val revision = firstRevision ?: page.revision.also { firstRevision = it }
             entries += page.entries
             if (!page.more || page.entries.isEmpty()) return KeyScan(entries, revision)
@@ -88,16 +88,16 @@
      * longer in the store's change log, so that a new [scan] is needed.
      */
     suspend fun changes(prefix: String, since: Long, waitMs: Long): ChangeBatch? {
-        val path = StateCodec.changesPath(prefix, since, waitMs)
+        val path = KeyValueCodec.changesPath(prefix, since, waitMs)
         val response = requests.send("GET", path, timeoutMs = waitMs + WATCH_SLACK_MS)
         if (response.status == KeyValueRequests.GONE) return null
-        return parseResponse { StateCodec.changes(requireOk(response).body) }
+        return parseResponse { KeyValueCodec.changes(requireOk(response).body) }
     }
 
     /** Grants a lease of [ms] milliseconds and returns its id. */
     suspend fun grantLease(ms: Long): Long {
-        val response = requests.send("POST", "/leases", StateCodec.lease(ms), urgent = true)
-        return parseResponse { StateCodec.leaseId(requireOk(response).body) }
+        val response = requests.send("POST", "/leases", KeyValueCodec.leaseRequest(ms), urgent = true)
+        return parseResponse { KeyValueCodec.leaseId(requireOk(response).body) }
     }
 
     /** Renews lease [id]; false when it has expired. */
@@ -116,9 +116,9 @@
     /** Sends a transaction on its own, ahead of the queue. Its revision, or null when a condition failed. */
     suspend fun commitNow(conditions: List<Condition>, writes: List<Write>): Long? {
         writeBudget.take(writes.size, urgent = true)
-        val response = requests.send("POST", KeyValueRequests.COMMIT, StateCodec.commit(conditions, writes), urgent = true)
+        val response = requests.send("POST", KeyValueRequests.COMMIT, KeyValueCodec.commit(conditions, writes), urgent = true)
         if (response.status == KeyValueRequests.CONFLICT) return null
-        return parseResponse { StateCodec.revision(requireOk(response).body) }
+        return parseResponse { KeyValueCodec.revision(requireOk(response).body) }
     }
 
     /**
--- a/src/main/kotlin/org/honeyjunction/io/TransactionWriter.kt
+++ b/src/main/kotlin/org/honeyjunction/io/TransactionWriter.kt
@@ -2,8 +2,8 @@
 
 import kotlinx.coroutines.channels.Channel
 import kotlinx.coroutines.launch
+import org.honeyjunction.wire.KeyValueCodec
 import org.honeyjunction.wire.Response
-import org.honeyjunction.wire.StateCodec
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
@@ -82,11 +82,11 @@
     private suspend fun commit(transactions: List<QueuedTransaction>): Response {
         val conditions = transactions.flatMap { it.conditions }.associateBy { it.key }.values
         val writes = transactions.flatMap { it.writes }
-        return requests.send("POST", KeyValueRequests.COMMIT, StateCodec.commit(conditions, writes))
+        return requests.send("POST", KeyValueRequests.COMMIT, KeyValueCodec.commit(conditions, writes))
     }
 
     private fun completeApplied(transactions: List<QueuedTransaction>, response: Response) {
-        val revision = parseResponse { StateCodec.revision(requireOk(response).body) }
+        val revision = parseResponse { KeyValueCodec.revision(requireOk(response).body) }
         transactions.forEach { queue.complete(it, CompareAndSwapOutcome.Applied(revision)) }
     }
 
@@ -95,7 +95,7 @@
      * (all of them if it names none), and returns the others, which were not written and have to be sent again.
      */
     private fun completeConflicting(transactions: List<QueuedTransaction>, response: Response): List<QueuedTransaction> {
-        val failedKeys = parseResponse { StateCodec.failed(response.body) }.toSet()
+        val failedKeys = parseResponse { KeyValueCodec.failedKeys(response.body) }.toSet()
         val (conflicting, others) =
             transactions.partition { transaction ->
                 failedKeys.isEmpty() || transaction.conditions.any { it.key in failedKeys }
--- a/src/main/kotlin/org/honeyjunction/nomad/JobReader.kt
+++ b/src/main/kotlin/org/honeyjunction/nomad/JobReader.kt
@@ -29,11 +29,11 @@
         try {
             if (text.trimStart('\uFEFF', ' ', '\t', '\r', '\n').startsWith("{")) json(text) else hcl(text, values)
         } catch (e: FileFaultException) {
-            JobDocument(Json.obj(), emptyMap(), listOf(e.finding))
+            JobDocument(Json.newObject(), emptyMap(), listOf(e.finding))
         }
 
     /** A job of the JSON form, without what it is wrapped in. */
-    fun read(job: ObjectNode): JobDocument = read(String(Json.write(Json.obj().set("Job", job))))
+    fun read(job: ObjectNode): JobDocument = read(String(Json.write(Json.newObject().set("Job", job))))
 
     private fun json(text: String): JobDocument {
         if (text.length >
--- a/src/main/kotlin/org/honeyjunction/nomad/Meaning.kt
+++ b/src/main/kotlin/org/honeyjunction/nomad/Meaning.kt
@@ -119,7 +119,7 @@
                 }
             }
         }
-        val asked = Json.obj().also { o -> all.forEach { (k, v) -> o.put(k, v) } }
+        val asked = Json.newObject().also { o -> all.forEach { (k, v) -> o.put(k, v) } }
         schema.validate(asked).forEach { f ->
             val key = f.property ?: f.instanceLocation.toString().trimStart('$', '.', '/')
             val at =
@@ -226,7 +226,7 @@
 
     /** What a change of makes another native job: all but how many there are and how they are replaced. */
     private fun definition(g: ObjectNode, piece: Int): String {
-        val o = Json.obj()
+        val o = Json.newObject()
         for (field in listOf(
             "Type",
             "Priority",
--- a/src/main/kotlin/org/honeyjunction/nomad/Normalizer.kt
+++ b/src/main/kotlin/org/honeyjunction/nomad/Normalizer.kt
@@ -53,7 +53,7 @@
     // HCL
 
     private fun body(body: Body, schema: Schema, path: String): ObjectNode {
-        val o = Json.obj()
+        val o = Json.newObject()
         val seen = HashSet<String>()
         for (a in body.attributes) {
             val sugar = if (schema === Fields.constraint || schema === Fields.affinity) shorthand(a) else null
@@ -157,7 +157,7 @@
 
     /** A block that is not looked into: blocks inside become lists of their kind. */
     private fun free(b: Block): ObjectNode {
-        val o = Json.obj()
+        val o = Json.newObject()
         b.body.attributes.forEach { a ->
             if (o.has(a.name)) error(a.place, "${b.type}: \"${a.name.take(40)}\" is there twice")
             o.set<JsonNode>(a.name, a.value.json())
@@ -178,7 +178,9 @@
     }
 
     private fun texts(o: ObjectNode): ObjectNode =
-        Json.obj().also { t -> o.properties().forEach { (k, v) -> t.put(k, if (v.isNumber) v.doubleValue().plain() else v.asText()) } }
+        Json.newObject().also { t ->
+            o.properties().forEach { (k, v) -> t.put(k, if (v.isNumber) v.doubleValue().plain() else v.asText()) }
+        }
 
     /** constraint { distinct_hosts = true } and its like stand for an operator with a value. */
     private fun shorthand(a: Attribute): Map<String, String>? {
@@ -208,7 +210,7 @@
     // JSON
 
     private fun mapping(m: Node.Mapping, schema: Schema, path: String): ObjectNode {
-        val o = Json.obj()
+        val o = Json.newObject()
         val seen = HashSet<String>()
         for (e in m.entries) {
             val f = schema.inJson(e.key)
--- a/src/main/kotlin/org/honeyjunction/nomad/Tree.kt
+++ b/src/main/kotlin/org/honeyjunction/nomad/Tree.kt
@@ -76,8 +76,8 @@
         is Node.Number -> number(number)
         is Node.Flag -> JsonNodeFactory.instance.booleanNode(on)
         is Node.Null -> JsonNodeFactory.instance.nullNode()
-        is Node.Sequence -> Json.arr().also { list -> items.forEach { list.add(it.json()) } }
-        is Node.Mapping -> Json.obj().also { o -> entries.forEach { o.set<JsonNode>(it.key, it.value.json()) } }
+        is Node.Sequence -> Json.newArray().also { list -> items.forEach { list.add(it.json()) } }
+        is Node.Mapping -> Json.newObject().also { o -> entries.forEach { o.set<JsonNode>(it.key, it.value.json()) } }
     }
 
 fun number(d: Double): JsonNode =
--- a/src/main/kotlin/org/honeyjunction/nomad/registry/HeadCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/nomad/registry/HeadCodec.kt
@@ -5,8 +5,8 @@
 import org.honeyjunction.wire.Json
 import org.honeyjunction.wire.MalformedException
 import org.honeyjunction.wire.count
+import org.honeyjunction.wire.fieldOrNull
 import org.honeyjunction.wire.flag
-import org.honeyjunction.wire.given
 import org.honeyjunction.wire.list
 import org.honeyjunction.wire.text
 import org.honeyjunction.wire.textOrNull
@@ -14,7 +14,7 @@
 /** Heads as the state service keeps them. */
 object HeadCodec {
     fun write(h: Head): ObjectNode =
-        Json.obj().apply {
+        Json.newObject().apply {
             put(
                 "namespace",
                 h.namespace,
@@ -84,7 +84,7 @@
             v.flag("settled"),
             v.list("groups").map(::group),
             v.count("at"),
-            v.given("revert_of")?.longValue(),
+            v.fieldOrNull("revert_of")?.longValue(),
         )
 
     private fun group(g: JsonNode): GroupBasis {
--- a/src/main/kotlin/org/honeyjunction/rules/RulesDocument.kt
+++ b/src/main/kotlin/org/honeyjunction/rules/RulesDocument.kt
@@ -9,12 +9,12 @@
 import org.honeyjunction.core.rules.Topology
 import org.honeyjunction.wire.Json
 import org.honeyjunction.wire.MalformedException
-import org.honeyjunction.wire.given
+import org.honeyjunction.wire.fieldOrNull
 
 /** The source text of rules, with the topology that they refer to. Both are applied, stored and returned together. */
 class RulesDocument(val text: String, val topology: ObjectNode?) {
     /** The document as JSON, the form in which it is stored. */
-    val json: ByteArray = Json.write(write(Json.obj()))
+    val json: ByteArray = Json.write(write(Json.newObject()))
 
     /** The SHA-256 hash of [json]; identifies the document and verifies that its stored parts are complete and unchanged. */
     val hash: ByteString = json.toByteString().sha256()
@@ -60,8 +60,9 @@
     companion object {
         /** Reads a document from the JSON form that [write] produces. */
         fun parse(json: JsonNode): RulesDocument {
-            val text = json.given("rules")?.takeIf { it.isTextual }?.textValue() ?: throw MalformedException("rules is missing or invalid")
-            val topology = json.given("topology")
+            val text =
+                json.fieldOrNull("rules")?.takeIf { it.isTextual }?.textValue() ?: throw MalformedException("rules is missing or invalid")
+            val topology = json.fieldOrNull("topology")
             if (topology != null && topology !is ObjectNode) throw MalformedException("topology is not an object")
             return RulesDocument(text, topology as? ObjectNode)
         }
--- a/src/main/kotlin/org/honeyjunction/rules/TopologyReader.kt
+++ b/src/main/kotlin/org/honeyjunction/rules/TopologyReader.kt
@@ -5,7 +5,7 @@
 import com.networknt.schema.SpecVersion
 import org.honeyjunction.core.rules.Topology
 import org.honeyjunction.wire.MalformedException
-import org.honeyjunction.wire.given
+import org.honeyjunction.wire.fieldOrNull
 import org.honeyjunction.wire.listOrEmpty
 import org.honeyjunction.wire.textOrNull
 
@@ -45,7 +45,7 @@
         )
 
     private fun labels(json: JsonNode, field: String): Map<String, String> =
-        json.given(field)?.properties().orEmpty().associate { (label, value) -> label to value.textValue() }
+        json.fieldOrNull(field)?.properties().orEmpty().associate { (label, value) -> label to value.textValue() }
 
     private const val MAX_ERRORS = 5
 }
--- a/src/main/kotlin/org/honeyjunction/wire/CheckpointCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/CheckpointCodec.kt
@@ -15,7 +15,7 @@
 
     /** A page of machine checkpoints, by machine name. */
     fun writeMachines(machines: List<MachineCheckpoint>): ObjectNode =
-        Json.obj().apply { machines.forEach { putObject(it.name).putMachine(it) } }
+        Json.newObject().apply { machines.forEach { putObject(it.name).putMachine(it) } }
 
     private fun ObjectNode.putMachine(machine: MachineCheckpoint) {
         put("address", machine.address)
@@ -38,13 +38,13 @@
             machine.text("zone"),
             machine.flag("spot"),
             machine.count("session"),
-            machine.given("images")?.properties().orEmpty().associate { (image, gb) -> image to gb.doubleValue() },
-            machine.given("idle")?.longValue(),
+            machine.fieldOrNull("images")?.properties().orEmpty().associate { (image, gb) -> image to gb.doubleValue() },
+            machine.fieldOrNull("idle")?.longValue(),
         )
 
     /** The leader checkpoint: failures by job, boot times by offer, and served work by fairness group. */
     fun writeLeader(checkpoint: LeaderCheckpoint): ObjectNode =
-        Json.obj().apply {
+        Json.newObject().apply {
             val jobs = putObject("jobs")
             checkpoint.jobs.forEach { jobs.putObject(it.job).putFailures(it) }
             val boots = putArray("boots")
@@ -75,7 +75,7 @@
 
     fun readLeader(value: JsonNode) =
         LeaderCheckpoint(
-            value.given("jobs")?.properties().orEmpty().map { (job, failures) -> readFailures(job, failures) },
+            value.fieldOrNull("jobs")?.properties().orEmpty().map { (job, failures) -> readFailures(job, failures) },
             value.listOrEmpty("boots").map(::readBootTimes),
             FairnessGroup.Kind.entries.flatMap { readServed(it, value) }.toMap(),
         )
@@ -100,7 +100,7 @@
         )
 
     private fun readServed(kind: FairnessGroup.Kind, checkpoint: JsonNode): List<Pair<FairnessGroup, ServedCount>> =
-        checkpoint.given(fieldOf(kind))?.properties().orEmpty().map { (name, served) ->
+        checkpoint.fieldOrNull(fieldOf(kind))?.properties().orEmpty().map { (name, served) ->
             if (served.size() != SERVED_FIELDS || served.any { !it.isInt }) throw MalformedException("the tally of $name is invalid")
             FairnessGroup(kind, name) to ServedCount(served[0].intValue(), served[1].intValue(), served[2].intValue())
         }
--- a/src/main/kotlin/org/honeyjunction/wire/CloudCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/CloudCodec.kt
@@ -18,7 +18,7 @@
      *
      * @throws MalformedException also where there are more types or zones than the tables can hold
      */
-    fun types(body: ByteArray, cluster: Cluster): Map<Int, MachineType> =
+    fun machineTypes(body: ByteArray, cluster: Cluster): Map<Int, MachineType> =
         Json.readObject(body).list(ProtocolNames.MACHINE_TYPES).associate { type ->
             val name = type.text(ProtocolNames.TYPE_NAME)
             val number = cluster.typeNames.indexWithin(name, Cluster.MAX_TYPES)
@@ -47,7 +47,7 @@
 
     /** The request for new instances; its id makes a repetition harmless. */
     fun scaleOut(request: Effect.ScaleOut): ByteArray {
-        val body = Json.obj()
+        val body = Json.newObject()
         body.put(ProtocolNames.REQUEST_ID, request.request)
         body.put(ProtocolNames.MACHINE_TYPE, request.type)
         body.put(ProtocolNames.ZONE, request.zone)
@@ -58,7 +58,7 @@
 
     /** A list of instance names. */
     fun names(machines: List<String>): ByteArray {
-        val body = Json.obj()
+        val body = Json.newObject()
         body.putArray(ProtocolNames.MACHINES).apply { machines.forEach(::add) }
         return Json.write(body)
     }
@@ -67,7 +67,7 @@
     fun readNames(body: ByteArray): List<String> = Json.readObject(body).list(ProtocolNames.MACHINES).mapNotNull { it.textValue() }
 
     /** A page of the list of instances. */
-    fun page(body: ByteArray): Page {
+    fun instancePage(body: ByteArray): Page {
         val page = Json.readObject(body)
         val machines = page.list(ProtocolNames.MACHINES).map(::readMachine)
         return Page(machines, page.flagOr(ProtocolNames.MORE, false))
--- a/src/main/kotlin/org/honeyjunction/wire/OtherSide.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/CounterpartCodec.kt
@@ -15,21 +15,21 @@
  * The other sides of the interfaces, for fakes and tests: what workers, the cloud, the key-value store and users write and
  * read. Readers throw [MalformedException].
  */
-object OtherSide {
+object CounterpartCodec {
     /** Commands as a worker receives them, with the fencing [token] and its agent incarnation [session]; -1 where absent. */
     class Commands(val token: Long, val session: Long, val commands: List<Command>)
 
-    /** A scale-out request as the cloud receives it; [name] is its idempotency key. */
-    class RentalCall(val name: String, val type: String, val zone: String, val spot: Boolean, val count: Int)
+    /** A scale-out request as the cloud receives it; [ScaleOutRequest.requestId] is its idempotency key. */
+    class ScaleOutRequest(val requestId: String, val type: String, val zone: String, val spot: Boolean, val count: Int)
 
     /** A transaction as the store receives it: versions by key, and puts as key, value (null: a delete) and lease. */
-    class CommitCall(val conditions: Map<String, Long>, val puts: List<Triple<String, JsonNode?, Long?>>)
+    class TransactionRequest(val conditions: Map<String, Long>, val writes: List<Triple<String, JsonNode?, Long?>>)
 
     private const val ABSENT = -1L
 
     /** A heartbeat as its worker sends it. */
     fun heartbeat(heartbeat: Heartbeat): ByteArray {
-        val body = Json.obj()
+        val body = Json.newObject()
         body.put(ProtocolNames.MACHINE, heartbeat.machine)
         body.put(ProtocolNames.ADDRESS, heartbeat.address)
         body.put(ProtocolNames.MACHINE_TYPE, heartbeat.type)
@@ -65,8 +65,8 @@
     fun commands(body: ByteArray): Commands {
         val call = Json.readObject(body)
         return Commands(
-            call.given(ProtocolNames.FENCING_TOKEN)?.longValue() ?: ABSENT,
-            call.given(ProtocolNames.INCARNATION)?.longValue() ?: ABSENT,
+            call.fieldOrNull(ProtocolNames.FENCING_TOKEN)?.longValue() ?: ABSENT,
+            call.fieldOrNull(ProtocolNames.INCARNATION)?.longValue() ?: ABSENT,
             call.listOrEmpty(ProtocolNames.COMMANDS).map(::command),
         )
     }
@@ -86,8 +86,8 @@
     fun redirect(body: ByteArray): String? = Json.readObject(body).textOrNull(ProtocolNames.LEADER)
 
     /** The cloud's machine types; their zones are numbers in [zones]. */
-    fun types(types: List<MachineType>, zones: List<String>): ByteArray {
-        val body = Json.obj()
+    fun machineTypes(types: List<MachineType>, zones: List<String>): ByteArray {
+        val body = Json.newObject()
         body.putArray(ProtocolNames.MACHINE_TYPES).apply { types.forEach { addObject().putType(it, zones) } }
         return Json.write(body)
     }
@@ -106,9 +106,9 @@
     }
 
     /** A scale-out request as the cloud reads it. */
-    fun rental(body: ByteArray): RentalCall {
+    fun scaleOutRequest(body: ByteArray): ScaleOutRequest {
         val call = Json.readObject(body)
-        return RentalCall(
+        return ScaleOutRequest(
             call.text(ProtocolNames.REQUEST_ID),
             call.text(ProtocolNames.MACHINE_TYPE),
             call.text(ProtocolNames.ZONE),
@@ -118,9 +118,9 @@
     }
 
     /** A page of the cloud's list of instances; [isUp] says which ones have booted. */
-    fun machines(page: List<ListedMachine>, isUp: (String) -> Boolean, more: Boolean): ByteArray {
-        val body = Json.obj().put(ProtocolNames.MORE, more)
-        body.putArray(ProtocolNames.MACHINES).apply { page.forEach { addObject().putMachine(it, isUp) } }
+    fun instancePage(instances: List<ListedMachine>, isUp: (String) -> Boolean, more: Boolean): ByteArray {
+        val body = Json.newObject().put(ProtocolNames.MORE, more)
+        body.putArray(ProtocolNames.MACHINES).apply { instances.forEach { addObject().putMachine(it, isUp) } }
         return Json.write(body)
     }
 
@@ -141,38 +141,38 @@
     }
 
     /** A transaction as the key-value store reads it. */
-    fun commit(body: ByteArray): CommitCall {
+    fun commit(body: ByteArray): TransactionRequest {
         val call = Json.readObject(body)
-        val puts = call.listOrEmpty(ProtocolNames.WRITES).map(::write)
+        val writes = call.listOrEmpty(ProtocolNames.WRITES).map(::write)
         val conditions = call.listOrEmpty(ProtocolNames.CONDITIONS)
-        return CommitCall(conditions.associate { it.text(ProtocolNames.KEY) to it.count(ProtocolNames.VERSION) }, puts)
+        return TransactionRequest(conditions.associate { it.text(ProtocolNames.KEY) to it.count(ProtocolNames.VERSION) }, writes)
     }
 
     private fun write(node: JsonNode): Triple<String, JsonNode?, Long?> {
         val put = node.textOrNull(ProtocolNames.PUT) ?: return Triple(node.text(ProtocolNames.DELETE), null, null)
-        val value = node.given(ProtocolNames.VALUE) ?: throw MalformedException("${ProtocolNames.VALUE} is missing")
-        return Triple(put, value, node.given(ProtocolNames.LEASE)?.longValue())
+        val value = node.fieldOrNull(ProtocolNames.VALUE) ?: throw MalformedException("${ProtocolNames.VALUE} is missing")
+        return Triple(put, value, node.fieldOrNull(ProtocolNames.LEASE)?.longValue())
     }
 
     /** The time to live of a requested lease, in milliseconds. */
-    fun lifeMs(body: ByteArray): Long = Json.readObject(body).count(ProtocolNames.TTL_MS)
+    fun leaseTtlMs(body: ByteArray): Long = Json.readObject(body).count(ProtocolNames.TTL_MS)
 
     /** The response to a request for a lease. */
-    fun lease(id: Long): ByteArray = Json.write(Json.obj().put(ProtocolNames.LEASE, id))
+    fun lease(id: Long): ByteArray = Json.write(Json.newObject().put(ProtocolNames.LEASE, id))
 
     /** The response to a transaction that was applied. */
-    fun revision(revision: Long): ByteArray = Json.write(Json.obj().put(ProtocolNames.REVISION, revision))
+    fun revision(revision: Long): ByteArray = Json.write(Json.newObject().put(ProtocolNames.REVISION, revision))
 
     /** The response to a transaction whose conditions on the keys [failed] did not hold. */
     fun conflict(failed: List<String>, revision: Long): ByteArray {
-        val body = Json.obj().put(ProtocolNames.REVISION, revision)
+        val body = Json.newObject().put(ProtocolNames.REVISION, revision)
         body.putArray(ProtocolNames.FAILED).apply { failed.forEach(::add) }
         return Json.write(body)
     }
 
     /** The response to a read of one key. */
     fun entry(key: String, value: JsonNode, version: Long, lease: Long?): ByteArray =
-        Json.write(Json.obj().apply { putEntry(key, value, version, lease) })
+        Json.write(Json.newObject().apply { putEntry(key, value, version, lease) })
 
     private fun ObjectNode.putEntry(key: String, value: JsonNode, version: Long, lease: Long?) {
         put(ProtocolNames.KEY, key)
@@ -182,17 +182,17 @@
     }
 
     /** A page of a scan: entries as key, value and version. */
-    fun rows(rows: List<Triple<String, JsonNode, Long>>, more: Boolean, revision: Long): ByteArray {
-        val body = Json.obj().put(ProtocolNames.MORE, more).put(ProtocolNames.REVISION, revision)
+    fun entryPage(entries: List<Triple<String, JsonNode, Long>>, more: Boolean, revision: Long): ByteArray {
+        val body = Json.newObject().put(ProtocolNames.MORE, more).put(ProtocolNames.REVISION, revision)
         body.putArray(ProtocolNames.ENTRIES).apply {
-            rows.forEach { (key, value, version) -> addObject().putEntry(key, value, version, null) }
+            entries.forEach { (key, value, version) -> addObject().putEntry(key, value, version, null) }
         }
         return Json.write(body)
     }
 
     /** The response to a watch: changes as key, value (null: deleted) and version. */
     fun changes(changes: List<Triple<String, JsonNode?, Long>>, revision: Long): ByteArray {
-        val body = Json.obj().put(ProtocolNames.REVISION, revision)
+        val body = Json.newObject().put(ProtocolNames.REVISION, revision)
         body.putArray(ProtocolNames.CHANGES).apply {
             changes.forEach { (key, value, version) -> addChange(key, value, version) }
         }
@@ -209,7 +209,7 @@
     }
 
     /** The state that a user reads of a job, in the program's words: queued, running, done, cancelled. */
-    fun stage(body: ByteArray): String {
+    fun jobState(body: ByteArray): String {
         val state = Json.readObject(body).text(ProtocolNames.STATE)
         return if (state == ProtocolNames.JOB_CANCELLED) "cancelled" else state
     }
--- a/src/main/kotlin/org/honeyjunction/wire/ExplainCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/ExplainCodec.kt
@@ -15,7 +15,7 @@
 
     /** Explanations of tasks of [job] at the steady time [now], in milliseconds; [more] says whether others were left out. */
     fun write(job: String, all: List<Explanation>, now: Long, more: Boolean): ByteArray {
-        val body = Json.obj().put("job", job).put("more", more)
+        val body = Json.newObject().put("job", job).put("more", more)
         body.putArray("tasks").apply { all.forEach { addObject().putExplanation(it, now) } }
         return Json.write(body)
     }
@@ -66,7 +66,7 @@
         if (machine != null) {
             lines += "    locality ${task.amount("locality_gb")} GB, fairness ${"%.1f".format(task.amount("fairness"))}"
         }
-        task.given("best_barred")?.let { lines += "    ${alternativeText(it)}" }
+        task.fieldOrNull("best_barred")?.let { lines += "    ${alternativeText(it)}" }
         return lines
     }
 
@@ -74,7 +74,7 @@
         val version = task.count("rules_version")
         return when {
             machine == null -> "waits (rules version $version)"
-            task.given("decided_s_ago") == null ->
+            task.fieldOrNull("decided_s_ago") == null ->
                 "is on $machine; another leader placed it, so the rules are told as they hold now (version $version)"
             else -> "was placed on $machine ${task.amount("decided_s_ago")} s ago by rules version $version"
         }
--- a/src/main/kotlin/org/honeyjunction/wire/HttpParser.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/HttpParser.kt
@@ -5,16 +5,16 @@
 /**
  * A message as it was received.
  *
- * @property start the three parts of its first line: method, target and version, or version, status and reason
+ * @property startLine the three parts of its first line: method, target and version, or version, status and reason
  * @property headers values by names in lower case
  */
-class HttpMessage(val start: List<String>, val headers: Map<String, String>, val body: ByteArray) {
+class HttpMessage(val startLine: List<String>, val headers: Map<String, String>, val body: ByteArray) {
     /** Whether the sender closes the connection after this message. */
-    val closes: Boolean get() = headers["connection"].equals("close", ignoreCase = true)
+    val closesConnection: Boolean get() = headers["connection"].equals("close", ignoreCase = true)
 }
 
-/** Bounds of a message in bytes: of its [head] (first line and headers) and of its [body]. */
-class HttpLimits(val head: Int = 16 * 1024, val body: Int = 64 * 1024)
+/** Bounds of a message in bytes: [maxHeadBytes] for the first line and headers together, [maxBodyBytes] for the body. */
+class HttpLimits(val maxHeadBytes: Int = 16 * 1024, val maxBodyBytes: Int = 64 * 1024)
 
 /**
  * Incremental parser of one HTTP/1.1 message after the other on a connection. Framing that is ambiguous or exceeds [limits] is
@@ -28,10 +28,10 @@
     sealed interface Outcome
 
     /** The message is incomplete and all bytes were consumed. */
-    data object More : Outcome
+    data object Incomplete : Outcome
 
     /** A message is complete; the bytes after it were left in the input. */
-    class Done(val message: HttpMessage) : Outcome
+    class Complete(val message: HttpMessage) : Outcome
 
     /** The bytes are no valid message; [status] is the HTTP status to answer a request with. */
     data class Failed(val status: Int, val reason: String) : Outcome
@@ -42,14 +42,14 @@
     private val line = Bytes()
     private var body = Bytes()
     private var headBytes = 0
-    private var start: List<String>? = null
+    private var startLine: List<String>? = null
     private val headers = LinkedHashMap<String, String>()
 
     /** Size that the body will have when its present part is complete. */
     private var expected = 0
 
     /** Whether a message has begun and is not complete. */
-    val midway: Boolean get() = headBytes > 0
+    val isMidMessage: Boolean get() = headBytes > 0
 
     /** Consumes [input] up to the end of one message. */
     fun feed(input: ByteBuffer): Outcome {
@@ -70,7 +70,7 @@
     }
 
     /** The peer closed the connection: this ends a message without a length, and cuts any other one short. */
-    fun end(): Outcome = if (stage == Stage.UNTIL_CLOSE) finish() else fail(400, "closed midway")
+    fun endOfStream(): Outcome = if (stage == Stage.UNTIL_CLOSE) finish() else fail(400, "closed midway")
 
     private fun enter(next: Stage) {
         stage = next
@@ -92,15 +92,15 @@
             val byte = input.get()
             headBytes++
             // Lines between chunks count as head: the body read so far bounds them.
-            if (headBytes > limits.head + body.size) return fail(431, "head too long")
+            if (headBytes > limits.maxHeadBytes + body.size) return fail(431, "head too long")
             if (byte == NEWLINE) return use(line.takeLine())
             line.add(byte)
         }
-        return More
+        return Incomplete
     }
 
     private fun head(text: String): Outcome? {
-        val first = start
+        val first = startLine
         return when {
             first == null -> firstLine(text)
             text.isEmpty() -> framing(first)
@@ -117,7 +117,7 @@
         val parts = text.split(' ', limit = 3)
         val version = if (kind == Kind.REQUEST) parts.getOrNull(2) else parts.first()
         if (parts.size < 2 || version == null || !version.startsWith("HTTP/1.")) return fail(400, "bad first line")
-        start = parts
+        startLine = parts
         return null
     }
 
@@ -145,36 +145,36 @@
             return if (bodiless) finish() else next(Stage.UNTIL_CLOSE)
         }
         if (length.isEmpty() || length.length > MAX_LENGTH_DIGITS || !length.all { it in '0'..'9' }) return fail(400, "bad length")
-        if (length.toLong() > limits.body) return fail(413, "body too long")
+        if (length.toLong() > limits.maxBodyBytes) return fail(413, "body too long")
         expected = length.toInt()
         return next(Stage.BODY)
     }
 
     private fun chunkSize(text: String): Outcome? {
         val size = text.substringBefore(';').trim().toIntOrNull(16) ?: return fail(400, "bad chunk")
-        if (size < 0 || size > limits.body - body.size) return fail(413, "body too long")
+        if (size < 0 || size > limits.maxBodyBytes - body.size) return fail(413, "body too long")
         expected = body.size + size
         return next(if (size == 0) Stage.TRAILER else Stage.CHUNK_DATA)
     }
 
     private inline fun data(input: ByteBuffer, whenComplete: () -> Outcome?): Outcome? {
         body.addAll(input, minOf(expected - body.size, input.remaining()))
-        return if (body.size == expected) whenComplete() else More
+        return if (body.size == expected) whenComplete() else Incomplete
     }
 
     private fun untilClose(input: ByteBuffer): Outcome {
-        if (input.remaining() > limits.body - body.size) return fail(413, "body too long")
+        if (input.remaining() > limits.maxBodyBytes - body.size) return fail(413, "body too long")
         body.addAll(input, input.remaining())
-        return More
+        return Incomplete
     }
 
     private fun finish(): Outcome {
-        val message = HttpMessage(checkNotNull(start), HashMap(headers), body.take())
-        start = null
+        val message = HttpMessage(checkNotNull(startLine), HashMap(headers), body.take())
+        startLine = null
         headers.clear()
         headBytes = 0
         enter(Stage.HEAD)
-        return Done(message)
+        return Complete(message)
     }
 
     /** A byte array that grows, and shrinks again after a large message. */
--- a/src/main/kotlin/org/honeyjunction/wire/JobCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/JobCodec.kt
@@ -66,7 +66,7 @@
     }
 
     private fun types(job: ObjectNode): List<String>? {
-        if (job.given(ProtocolNames.MACHINE_TYPES) == null) return null
+        if (job.fieldOrNull(ProtocolNames.MACHINE_TYPES) == null) return null
         val types = job.list(ProtocolNames.MACHINE_TYPES)
         val valid = types.size <= MAX_TYPES && types.all { it.isTextual && it.textValue().length <= MAX_TYPE_LENGTH }
         if (!valid) throw MalformedException("${ProtocolNames.MACHINE_TYPES} is invalid")
@@ -78,7 +78,7 @@
 
     /** [spec] as its user would submit it. */
     fun write(spec: JobSpec): ObjectNode =
-        Json.obj().apply {
+        Json.newObject().apply {
             put(ProtocolNames.ID, spec.id)
             put(ProtocolNames.JOB_CLASS, spec.jobClass)
             put(ProtocolNames.TEAM, spec.team)
@@ -103,7 +103,7 @@
 
     /** The stored value of a job; [owner] is the node whose shard it belongs to, [createdAtWall] milliseconds of wall time. */
     fun record(spec: JobSpec, owner: String, createdAtWall: Long, stage: JobStage): ObjectNode =
-        Json.obj().apply {
+        Json.newObject().apply {
             set<JsonNode>(JOB, write(spec))
             put(OWNER, owner)
             put(CREATED, createdAtWall)
@@ -113,7 +113,7 @@
     /** The job of a stored [value] at [version] of its key. */
     fun stored(value: JsonNode, version: Long): StoredJob =
         StoredJob(
-            spec(value.given(JOB) as? ObjectNode ?: throw MalformedException("$JOB is missing")),
+            spec(value.fieldOrNull(JOB) as? ObjectNode ?: throw MalformedException("$JOB is missing")),
             value.text(OWNER),
             value.count(CREATED),
             version,
@@ -129,8 +129,8 @@
         }
 
     /** The response to a user's question about job [id]; with the numbers of its tasks where [counts]. */
-    fun answer(id: String, status: JobStatus, counts: Boolean): ByteArray {
-        val body = Json.obj().put(ProtocolNames.ID, id).put(ProtocolNames.STATE, stage(status))
+    fun statusResponse(id: String, status: JobStatus, counts: Boolean): ByteArray {
+        val body = Json.newObject().put(ProtocolNames.ID, id).put(ProtocolNames.STATE, stage(status))
         if (counts) body.put("done", status.done).put("running", status.running)
         return Json.write(body)
     }
--- a/src/main/kotlin/org/honeyjunction/wire/JournalPageCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/JournalPageCodec.kt
@@ -20,7 +20,7 @@
 
     /** The value of [page]; [write] tells this writing of the page from every other one. */
     fun write(page: JournalPageRecord, write: Long): ObjectNode =
-        Json.obj().apply {
+        Json.newObject().apply {
             put(WRITE, write)
             val starts = putArray(STARTS)
             page.starts.groupBy { Triple(it.job, it.attempt, it.machine) }.forEach { (group, members) ->
@@ -38,11 +38,11 @@
             number,
             version,
             value.list(STARTS).chunked(FIELDS_OF_START).flatMap { readStarts(it, number) },
-            value.given(DONE)?.properties().orEmpty().associate { (job, numbers) -> job to readNumbers(numbers, number) },
+            value.fieldOrNull(DONE)?.properties().orEmpty().associate { (job, numbers) -> job to readNumbers(numbers, number) },
         )
 
     /** Which writing of a page [value] is; null when it does not say. */
-    fun writeNumber(value: JsonNode?): Long? = value?.given(WRITE)?.longValue()
+    fun writeNumber(value: JsonNode?): Long? = value?.fieldOrNull(WRITE)?.longValue()
 
     private fun readStarts(fields: List<JsonNode>, page: Int): List<RecordedStart> {
         val valid = fields.size == FIELDS_OF_START && fields[0].isTextual && fields[2].isIntegralNumber && fields[3].isTextual
--- a/src/main/kotlin/org/honeyjunction/wire/Json.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/Json.kt
@@ -18,14 +18,14 @@
     private val mapper = ObjectMapper()
     private val reader = mapper.readerFor(JsonNode::class.java).with(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
 
-    fun obj(): ObjectNode = JsonNodeFactory.instance.objectNode()
+    fun newObject(): ObjectNode = JsonNodeFactory.instance.objectNode()
 
-    fun arr(): ArrayNode = JsonNodeFactory.instance.arrayNode()
+    fun newArray(): ArrayNode = JsonNodeFactory.instance.arrayNode()
 
     fun text(text: String): JsonNode = JsonNodeFactory.instance.textNode(text)
 
     /** The body of an HTTP error response. */
-    fun error(why: String): ByteArray = write(obj().put("error", why))
+    fun error(why: String): ByteArray = write(newObject().put("error", why))
 
     fun write(node: JsonNode): ByteArray = mapper.writeValueAsBytes(node)
 
@@ -56,34 +56,34 @@
 private const val AMOUNT_BOUND = 1e12
 
 /** The field [name], or null where it is absent or null. The readers below throw [MalformedException] for any other form. */
-fun JsonNode.given(name: String): JsonNode? = get(name)?.takeUnless { it.isNull }
+fun JsonNode.fieldOrNull(name: String): JsonNode? = get(name)?.takeUnless { it.isNull }
 
 /** A text of 1 to [most] characters. */
 fun JsonNode.text(name: String, most: Int = MAX_TEXT): String =
-    given(name)?.takeIf { it.isTextual && it.textValue().length in 1..most }?.textValue() ?: invalid(name)
+    fieldOrNull(name)?.takeIf { it.isTextual && it.textValue().length in 1..most }?.textValue() ?: invalid(name)
 
 /** A [text], or null where the field is absent. */
-fun JsonNode.textOrNull(name: String, most: Int = MAX_TEXT): String? = if (given(name) == null) null else text(name, most)
+fun JsonNode.textOrNull(name: String, most: Int = MAX_TEXT): String? = if (fieldOrNull(name) == null) null else text(name, most)
 
 /** A finite number from 0 on. */
 fun JsonNode.amount(name: String): Double =
-    given(name)?.takeIf { it.isNumber }?.doubleValue()?.takeIf { it.isFinite() && it >= 0 && it < AMOUNT_BOUND } ?: invalid(name)
+    fieldOrNull(name)?.takeIf { it.isNumber }?.doubleValue()?.takeIf { it.isFinite() && it >= 0 && it < AMOUNT_BOUND } ?: invalid(name)
 
 /** An [amount], or null where the field is absent. */
-fun JsonNode.amountOrNull(name: String): Double? = if (given(name) == null) null else amount(name)
+fun JsonNode.amountOrNull(name: String): Double? = if (fieldOrNull(name) == null) null else amount(name)
 
 /** A whole number from 0 on. */
 fun JsonNode.count(name: String): Long =
-    given(name)?.takeIf { it.isIntegralNumber && it.canConvertToLong() }?.longValue()?.takeIf { it >= 0 } ?: invalid(name)
+    fieldOrNull(name)?.takeIf { it.isIntegralNumber && it.canConvertToLong() }?.longValue()?.takeIf { it >= 0 } ?: invalid(name)
 
 /** A boolean. */
-fun JsonNode.flag(name: String): Boolean = given(name)?.takeIf { it.isBoolean }?.booleanValue() ?: invalid(name)
+fun JsonNode.flag(name: String): Boolean = fieldOrNull(name)?.takeIf { it.isBoolean }?.booleanValue() ?: invalid(name)
 
 /** A [flag], or [otherwise] where the field is absent. */
-fun JsonNode.flagOr(name: String, otherwise: Boolean): Boolean = if (given(name) == null) otherwise else flag(name)
+fun JsonNode.flagOr(name: String, otherwise: Boolean): Boolean = if (fieldOrNull(name) == null) otherwise else flag(name)
 
 /** The items of an array. */
-fun JsonNode.list(name: String): List<JsonNode> = given(name)?.takeIf { it.isArray }?.toList() ?: invalid(name)
+fun JsonNode.list(name: String): List<JsonNode> = fieldOrNull(name)?.takeIf { it.isArray }?.toList() ?: invalid(name)
 
 /** A [list], empty where the field is absent. */
-fun JsonNode.listOrEmpty(name: String): List<JsonNode> = if (given(name) == null) emptyList() else list(name)
+fun JsonNode.listOrEmpty(name: String): List<JsonNode> = if (fieldOrNull(name) == null) emptyList() else list(name)
--- a/src/main/kotlin/org/honeyjunction/wire/StateCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/KeyValueCodec.kt
@@ -8,10 +8,10 @@
  * Requests to the key-value store and its responses. Readers throw [MalformedException] for a response without the fields that
  * they need.
  */
-object StateCodec {
+object KeyValueCodec {
     /** A compare-and-swap transaction. */
     fun commit(conditions: Collection<Condition>, writes: List<Write>): ByteArray {
-        val transaction = Json.obj()
+        val transaction = Json.newObject()
         transaction.putArray(ProtocolNames.CONDITIONS).apply {
             conditions.forEach { addObject().put(ProtocolNames.KEY, it.key).put(ProtocolNames.VERSION, it.version) }
         }
@@ -34,20 +34,20 @@
     fun revision(body: ByteArray): Long = Json.readObject(body).count(ProtocolNames.REVISION)
 
     /** Keys whose conditions failed: one or all of them. */
-    fun failed(body: ByteArray): List<String> = Json.readObject(body).listOrEmpty(ProtocolNames.FAILED).mapNotNull { it.textValue() }
+    fun failedKeys(body: ByteArray): List<String> = Json.readObject(body).listOrEmpty(ProtocolNames.FAILED).mapNotNull { it.textValue() }
 
     fun entry(body: ByteArray): Entry = readEntry(Json.readObject(body))
 
     private fun readEntry(node: JsonNode) =
         Entry(
             node.text(ProtocolNames.KEY),
-            node.given(ProtocolNames.VALUE),
+            node.fieldOrNull(ProtocolNames.VALUE),
             node.count(ProtocolNames.VERSION),
-            node.given(ProtocolNames.LEASE)?.longValue(),
+            node.fieldOrNull(ProtocolNames.LEASE)?.longValue(),
         )
 
     /** A page of a scan. */
-    fun page(body: ByteArray): EntryPage {
+    fun entryPage(body: ByteArray): EntryPage {
         val page = Json.readObject(body)
         return EntryPage(
             page.list(ProtocolNames.ENTRIES).map(::readEntry),
@@ -66,12 +66,12 @@
     private fun readChange(node: JsonNode): KeyChange {
         val put = node.textOrNull(ProtocolNames.PUT)
         val key = put ?: node.text(ProtocolNames.DELETE)
-        val value = if (put == null) null else node.given(ProtocolNames.VALUE)
+        val value = if (put == null) null else node.fieldOrNull(ProtocolNames.VALUE)
         return KeyChange(key, value, node.count(ProtocolNames.VERSION))
     }
 
-    /** A request for a lease of [ms] milliseconds. */
-    fun lease(ms: Long): ByteArray = Json.write(Json.obj().put(ProtocolNames.TTL_MS, ms))
+    /** A request for a lease of [ttlMs] milliseconds. */
+    fun leaseRequest(ttlMs: Long): ByteArray = Json.write(Json.newObject().put(ProtocolNames.TTL_MS, ttlMs))
 
     fun leaseId(body: ByteArray): Long = Json.readObject(body).count(ProtocolNames.LEASE)
 
--- a/src/main/kotlin/org/honeyjunction/wire/PeerCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/PeerCodec.kt
@@ -113,7 +113,7 @@
     private fun Buffer.writeSummaryResponse(message: PeerMessage.SummaryResponse) {
         writeByte(SUMMARY_RESPONSE)
         writeLong(message.term)
-        writeBoolean(message.certain)
+        writeBoolean(message.holdsLease)
         writePlan(message.plan)
         writeDouble(message.writesPerS)
         SummaryCodec.write(this, message.summary)
@@ -122,7 +122,7 @@
     private fun Buffer.readSummaryResponse() =
         PeerMessage.SummaryResponse(
             term = readLong(),
-            certain = readBoolean(),
+            holdsLease = readBoolean(),
             plan = readPlan(),
             writesPerS = readDouble(),
             summary = SummaryCodec.read(this),
--- a/src/main/kotlin/org/honeyjunction/wire/PeerMessage.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/PeerMessage.kt
@@ -38,13 +38,13 @@
      * Leader to follower, in answer to [SummaryRequest]: when there is something to place, or after a bounded wait.
      *
      * @property term the leader's term
-     * @property certain whether the leader is certain that it holds the leader lease, which means that the key-value store
+     * @property holdsLease whether the leader is certain that it holds the leader lease, which means that the key-value store
      *   answers it
      * @property plan which traffic classes' jobs the follower may admit
      * @property writesPerS the follower's share of the key-value store's write limit, in writes a second
      * @property summary pending tasks of the follower's shard and the free capacity to place them on
      */
-    class SummaryResponse(val term: Long, val certain: Boolean, val plan: QuotaPlan, val writesPerS: Double, val summary: Summary) :
+    class SummaryResponse(val term: Long, val holdsLease: Boolean, val plan: QuotaPlan, val writesPerS: Double, val summary: Summary) :
         PeerMessage
 
     /**
--- a/src/main/kotlin/org/honeyjunction/wire/WorkerCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/WorkerCodec.kt
@@ -49,15 +49,15 @@
         ProtocolNames.TERMINATION_REASONS[task.textOrNull(ProtocolNames.TERMINATION_REASON)] ?: TerminationReason.ERROR
 
     /** The response to a heartbeat: the leader's fencing [token] and the commands for the worker. */
-    fun answer(token: Long, commands: List<Command>): ByteArray =
-        Json.write(Json.obj().put(ProtocolNames.FENCING_TOKEN, token).putCommands(commands))
+    fun heartbeatResponse(token: Long, commands: List<Command>): ByteArray =
+        Json.write(Json.newObject().put(ProtocolNames.FENCING_TOKEN, token).putCommands(commands))
 
     /** The response to a heartbeat by a node that is not the leader; names the [leader] if it is known. */
-    fun redirect(leader: String?): ByteArray = Json.write(Json.obj().apply { leader?.let { put(ProtocolNames.LEADER, it) } })
+    fun redirect(leader: String?): ByteArray = Json.write(Json.newObject().apply { leader?.let { put(ProtocolNames.LEADER, it) } })
 
     /** Commands pushed to a worker; it accepts them only in the agent incarnation [session]. */
     fun commands(token: Long, session: Long, commands: List<Command>): ByteArray {
-        val request = Json.obj().put(ProtocolNames.FENCING_TOKEN, token).put(ProtocolNames.INCARNATION, session)
+        val request = Json.newObject().put(ProtocolNames.FENCING_TOKEN, token).put(ProtocolNames.INCARNATION, session)
         return Json.write(request.putCommands(commands))
     }
 
--- a/src/test/kotlin/org/honeyjunction/app/FaultyStateServiceCluster.kt
+++ b/src/test/kotlin/org/honeyjunction/app/FaultyStateServiceCluster.kt
@@ -19,8 +19,8 @@
 import org.honeyjunction.io.EventLoop
 import org.honeyjunction.io.HttpClient
 import org.honeyjunction.io.HttpServer
+import org.honeyjunction.wire.CounterpartCodec
 import org.honeyjunction.wire.Json
-import org.honeyjunction.wire.OtherSide
 import org.honeyjunction.wire.Request
 import org.honeyjunction.wire.Response
 import java.io.IOException
@@ -130,7 +130,7 @@
             }
         if (r.status == 404 && known) loopback.watch.note(now, "forgotten: $id at node $node")
         if (r.status != 200) return null
-        val stage = OtherSide.stage(r.body)
+        val stage = CounterpartCodec.jobState(r.body)
         accepted += id
         if (before != null && stage != before) loopback.watch.note(now, "went_back: node $node tells $stage of $id after $before")
         if (stage == "done" || stage == "cancelled") {
--- a/src/test/kotlin/org/honeyjunction/app/HistoryCheckerTest.kt
+++ b/src/test/kotlin/org/honeyjunction/app/HistoryCheckerTest.kt
@@ -319,6 +319,6 @@
     private companion object {
         const val CANCEL_MS = 15_000L
 
-        fun told(stage: String) = Response(200, Json.write(Json.obj().put("Ref", "j-000001").put("Stage", stage)))
+        fun told(stage: String) = Response(200, Json.write(Json.newObject().put("Ref", "j-000001").put("Stage", stage)))
     }
 }
--- a/src/test/kotlin/org/honeyjunction/app/LocalClusterTest.kt
+++ b/src/test/kotlin/org/honeyjunction/app/LocalClusterTest.kt
@@ -151,7 +151,7 @@
                     runCatching {
                         OperatorClient(
                             listOf(cluster.nodes[1]),
-                        ).ask("POST", RulesApi.RULES_PATH, Json.write(document(2).write(Json.obj())))
+                        ).ask("POST", RulesApi.RULES_PATH, Json.write(document(2).write(Json.newObject())))
                     }
                 }
             }
--- a/src/test/kotlin/org/honeyjunction/app/NomadClusterTest.kt
+++ b/src/test/kotlin/org/honeyjunction/app/NomadClusterTest.kt
@@ -136,7 +136,7 @@
             assertEquals(200, jobs.register(quotes("7")).status)
             assertEquals(index, jobs.get(ID)!!.path("ModifyIndex").asLong())
             val stale =
-                Json.obj().apply { set<ObjectNode>("Job", quotes("8").json) }.put("EnforceIndex", true).put(
+                Json.newObject().apply { set<ObjectNode>("Job", quotes("8").json) }.put("EnforceIndex", true).put(
                     "JobModifyIndex",
                     index - 1,
                 )
@@ -166,7 +166,7 @@
             val bad =
                 JobReader.read(
                     String(
-                        Json.write(Json.obj().set("Job", quotes("8").json)),
+                        Json.write(Json.newObject().set("Job", quotes("8").json)),
                     ).replace("quotes/serve:8", "quotes/fails").replace("60000000000", "4000000000"),
                 )
             assertEquals(200, jobs.register(bad).status)
--- a/src/test/kotlin/org/honeyjunction/app/SettingsTest.kt
+++ b/src/test/kotlin/org/honeyjunction/app/SettingsTest.kt
@@ -82,9 +82,9 @@
             val kinds = (0 until count).joinToString(",") { type(it, zone(it)) }
             return """{"HiveKinds":[$kinds]}""".toByteArray()
         }
-        assertEquals(64, CloudCodec.types(types(64) { "a" }, cluster).size)
-        assertThrows(MalformedException::class.java) { CloudCodec.types(types(65) { "a" }, cluster) }
-        assertThrows(MalformedException::class.java) { CloudCodec.types(types(64) { "zone-$it" }, cluster) }
+        assertEquals(64, CloudCodec.machineTypes(types(64) { "a" }, cluster).size)
+        assertThrows(MalformedException::class.java) { CloudCodec.machineTypes(types(65) { "a" }, cluster) }
+        assertThrows(MalformedException::class.java) { CloudCodec.machineTypes(types(64) { "zone-$it" }, cluster) }
     }
 
     @Test
--- a/src/test/kotlin/org/honeyjunction/app/StatusConsistencyUsers.kt
+++ b/src/test/kotlin/org/honeyjunction/app/StatusConsistencyUsers.kt
@@ -9,10 +9,10 @@
 import org.honeyjunction.io.Connections
 import org.honeyjunction.io.EventLoop
 import org.honeyjunction.io.HttpClient
+import org.honeyjunction.wire.CounterpartCodec
 import org.honeyjunction.wire.JobCodec
 import org.honeyjunction.wire.Json
 import org.honeyjunction.wire.MalformedException
-import org.honeyjunction.wire.OtherSide
 import org.honeyjunction.wire.Response
 import java.io.IOException
 import java.util.Random
@@ -141,7 +141,7 @@
         if (r.status != 200 && r.status != 201) return
         val told =
             try {
-                when (OtherSide.stage(r.body)) {
+                when (CounterpartCodec.jobState(r.body)) {
                     "done" -> Word.DONE
                     "cancelled" -> Word.CANCELLED
                     else -> Word.ACCEPTED
--- a/src/test/kotlin/org/honeyjunction/app/UnknownWriteOutcomeTest.kt
+++ b/src/test/kotlin/org/honeyjunction/app/UnknownWriteOutcomeTest.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.coroutines.delay
 import org.honeyjunction.fake.FakeUsers
-import org.honeyjunction.wire.OtherSide
+import org.honeyjunction.wire.CounterpartCodec
 import org.honeyjunction.wire.Request
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -17,7 +17,7 @@
             if (r.path ==
                 "/commit"
             ) {
-                OtherSide.commit(r.body).puts
+                CounterpartCodec.commit(r.body).writes
             } else {
                 return if (r.path ==
                     "/leases"
--- a/src/test/kotlin/org/honeyjunction/nomad/JobFuzzTest.kt
+++ b/src/test/kotlin/org/honeyjunction/nomad/JobFuzzTest.kt
@@ -11,7 +11,7 @@
 /** Texts made of the grammar and texts that were damaged: each ends in a document or in findings with places, soon. */
 class JobFuzzTest {
     private val seeds = listOf("quotes", "backtest").map { File("deploy/nomad/$it.nomad.hcl").readText() }
-    private val json = seeds.map { String(Json.write(Json.obj().set("Job", JobReader.read(it).json))) }
+    private val json = seeds.map { String(Json.write(Json.newObject().set("Job", JobReader.read(it).json))) }
     private val pieces =
         listOf(
             "\"",
--- a/src/test/kotlin/org/honeyjunction/wire/GoldenOutside.kt
+++ b/src/test/kotlin/org/honeyjunction/wire/GoldenOutside.kt
@@ -36,19 +36,23 @@
         )
     private val plainReport = report.copy(spot = false, spotNoticeS = null, tasks = emptyList())
 
-    private fun commandsAgain(body: ByteArray) = OtherSide.commands(body).let { WorkerCodec.commands(it.token, it.session, it.commands) }
+    private fun commandsAgain(body: ByteArray) =
+        CounterpartCodec.commands(body).let { WorkerCodec.commands(it.token, it.session, it.commands) }
 
-    private fun answerAgain(body: ByteArray) = OtherSide.commands(body).let { WorkerCodec.answer(it.token, it.commands) }
+    private fun answerAgain(body: ByteArray) = CounterpartCodec.commands(body).let { WorkerCodec.heartbeatResponse(it.token, it.commands) }
 
     private val workers: List<Golden> =
         listOf(
-            Golden("worker/answer.json", ::answerAgain) { WorkerCodec.answer(41, commands) },
+            Golden("worker/answer.json", ::answerAgain) { WorkerCodec.heartbeatResponse(41, commands) },
             Golden("worker/commands.json", ::commandsAgain) { WorkerCodec.commands(42, 12, commands) },
-            Golden("worker/redirect.json", { WorkerCodec.redirect(OtherSide.redirect(it)) }) { WorkerCodec.redirect("nöde-2") },
-            Golden("worker/redirect-to-nobody.json", { WorkerCodec.redirect(OtherSide.redirect(it)) }) { WorkerCodec.redirect(null) },
-            Golden("worker/report.json", { OtherSide.heartbeat(WorkerCodec.heartbeat(it)) }) { OtherSide.heartbeat(report) },
-            Golden("worker/report-without-options.json", { OtherSide.heartbeat(WorkerCodec.heartbeat(it)) }) {
-                OtherSide.heartbeat(plainReport)
+            Golden("worker/redirect.json", { WorkerCodec.redirect(CounterpartCodec.redirect(it)) }) { WorkerCodec.redirect("nöde-2") },
+            Golden(
+                "worker/redirect-to-nobody.json",
+                { WorkerCodec.redirect(CounterpartCodec.redirect(it)) },
+            ) { WorkerCodec.redirect(null) },
+            Golden("worker/report.json", { CounterpartCodec.heartbeat(WorkerCodec.heartbeat(it)) }) { CounterpartCodec.heartbeat(report) },
+            Golden("worker/report-without-options.json", { CounterpartCodec.heartbeat(WorkerCodec.heartbeat(it)) }) {
+                CounterpartCodec.heartbeat(plainReport)
             },
         )
 
@@ -61,20 +65,20 @@
         )
 
     private fun rentAgain(body: ByteArray) =
-        OtherSide.rental(body).let {
-            CloudCodec.scaleOut(Effect.ScaleOut(it.name, Offer(0, 0, it.spot), it.type, it.zone, it.count))
+        CounterpartCodec.scaleOutRequest(body).let {
+            CloudCodec.scaleOut(Effect.ScaleOut(it.requestId, Offer(0, 0, it.spot), it.type, it.zone, it.count))
         }
 
     private fun machinesAgain(body: ByteArray) =
-        CloudCodec.page(body).let { page ->
-            OtherSide.machines(page.machines, { it != "vm-3" }, page.more)
+        CloudCodec.instancePage(body).let { page ->
+            CounterpartCodec.instancePage(page.machines, { it != "vm-3" }, page.more)
         }
 
     private val cloud: List<Golden> =
         listOf(
             Golden("cloud/rent.json", ::rentAgain) { CloudCodec.scaleOut(rent) },
             Golden("cloud/names.json", { CloudCodec.names(CloudCodec.readNames(it)) }) { CloudCodec.names(listOf("vm-é1", "vm-2")) },
-            Golden("cloud/machines.json", ::machinesAgain) { OtherSide.machines(machines, { it != "vm-3" }, true) },
+            Golden("cloud/machines.json", ::machinesAgain) { CounterpartCodec.instancePage(machines, { it != "vm-3" }, true) },
         )
 
     private val value: JsonNode = Json.read("""{"term":41,"holder":"nöde-1"}""".toByteArray())
@@ -83,37 +87,44 @@
     private val changes = listOf(Triple("lead", value, 902L), Triple("j/j-000412", null, 903L))
 
     private fun commitAgain(body: ByteArray): ByteArray {
-        val call = OtherSide.commit(body)
+        val call = CounterpartCodec.commit(body)
         val conditions = call.conditions.map { Condition(it.key, it.value) }
-        return StateCodec.commit(conditions, call.puts.map { (key, v, lease) -> Write(key, v, lease) })
+        return KeyValueCodec.commit(conditions, call.writes.map { (key, v, lease) -> Write(key, v, lease) })
     }
 
-    private fun entryAgain(body: ByteArray) = StateCodec.entry(body).let { OtherSide.entry(it.key, it.value!!, it.version, it.lease) }
+    private fun entryAgain(body: ByteArray) =
+        KeyValueCodec.entry(body).let { CounterpartCodec.entry(it.key, it.value!!, it.version, it.lease) }
 
     private fun rowsAgain(body: ByteArray) =
-        StateCodec.page(body).let { page ->
-            OtherSide.rows(page.entries.map { Triple(it.key, it.value!!, it.version) }, page.more, page.revision)
+        KeyValueCodec.entryPage(body).let { page ->
+            CounterpartCodec.entryPage(page.entries.map { Triple(it.key, it.value!!, it.version) }, page.more, page.revision)
         }
 
     private fun changesAgain(body: ByteArray) =
-        StateCodec.changes(body).let { (revision, all) ->
-            OtherSide.changes(all.map { Triple(it.key, it.value, it.version) }, revision)
+        KeyValueCodec.changes(body).let { (revision, all) ->
+            CounterpartCodec.changes(all.map { Triple(it.key, it.value, it.version) }, revision)
         }
 
-    private fun conflictAgain(body: ByteArray) = OtherSide.conflict(StateCodec.failed(body), StateCodec.revision(body))
+    private fun conflictAgain(body: ByteArray) = CounterpartCodec.conflict(KeyValueCodec.failedKeys(body), KeyValueCodec.revision(body))
 
     private val stateService: List<Golden> =
         listOf(
-            Golden("state/commit.json", ::commitAgain) { StateCodec.commit(listOf(Condition("lead", 900), Condition("term", 0)), writes) },
-            Golden("state/commit-of-nothing.json", ::commitAgain) { StateCodec.commit(emptyList(), emptyList()) },
-            Golden("state/lease.json", { StateCodec.lease(OtherSide.lifeMs(it)) }) { StateCodec.lease(3_500) },
-            Golden("state/lease-granted.json", { OtherSide.lease(StateCodec.leaseId(it)) }) { OtherSide.lease(7_001) },
-            Golden("state/revision.json", { OtherSide.revision(StateCodec.revision(it)) }) { OtherSide.revision(904) },
-            Golden("state/conflict.json", ::conflictAgain) { OtherSide.conflict(listOf("lead", "j/j-000412"), 905) },
-            Golden("state/entry.json", ::entryAgain) { OtherSide.entry("lead", value, 900, 7_001) },
-            Golden("state/entry-without-lease.json", ::entryAgain) { OtherSide.entry("term", IntNode(41), 901, null) },
-            Golden("state/rows.json", ::rowsAgain) { OtherSide.rows(rows, true, 906) },
-            Golden("state/changes.json", ::changesAgain) { OtherSide.changes(changes, 907) },
+            Golden(
+                "state/commit.json",
+                ::commitAgain,
+            ) { KeyValueCodec.commit(listOf(Condition("lead", 900), Condition("term", 0)), writes) },
+            Golden("state/commit-of-nothing.json", ::commitAgain) { KeyValueCodec.commit(emptyList(), emptyList()) },
+            Golden(
+                "state/lease.json",
+                { KeyValueCodec.leaseRequest(CounterpartCodec.leaseTtlMs(it)) },
+            ) { KeyValueCodec.leaseRequest(3_500) },
+            Golden("state/lease-granted.json", { CounterpartCodec.lease(KeyValueCodec.leaseId(it)) }) { CounterpartCodec.lease(7_001) },
+            Golden("state/revision.json", { CounterpartCodec.revision(KeyValueCodec.revision(it)) }) { CounterpartCodec.revision(904) },
+            Golden("state/conflict.json", ::conflictAgain) { CounterpartCodec.conflict(listOf("lead", "j/j-000412"), 905) },
+            Golden("state/entry.json", ::entryAgain) { CounterpartCodec.entry("lead", value, 900, 7_001) },
+            Golden("state/entry-without-lease.json", ::entryAgain) { CounterpartCodec.entry("term", IntNode(41), 901, null) },
+            Golden("state/rows.json", ::rowsAgain) { CounterpartCodec.entryPage(rows, true, 906) },
+            Golden("state/changes.json", ::changesAgain) { CounterpartCodec.changes(changes, 907) },
         )
 
     private val explanations =
@@ -140,11 +151,11 @@
 
     private fun answers() =
         Json.write(
-            Json.arr().apply {
+            Json.newArray().apply {
                 for (stage in JobStage.entries) {
                     for (running in listOf(0, 3)) {
                         for (counts in listOf(true, false)) {
-                            add(Json.read(JobCodec.answer("j-000412", JobStatus(stage, 13, running), counts)))
+                            add(Json.read(JobCodec.statusResponse("j-000412", JobStatus(stage, 13, running), counts)))
                         }
                     }
                 }
@@ -167,7 +178,7 @@
             Golden("user/job-$name.json", ::jobAgain) { Json.write(JobCodec.write(spec)) }
         } +
             listOf(
-                Golden("user/answer.json") { JobCodec.answer("j-000412", JobStatus(JobStage.ACTIVE, 13, 3), true) },
+                Golden("user/answer.json") { JobCodec.statusResponse("j-000412", JobStatus(JobStage.ACTIVE, 13, 3), true) },
                 Golden("user/answers.json", encode = ::answers),
                 Golden("user/error.json") { Json.error("Ref is \"ungültig\"") },
                 Golden("user/explained.json", encode = ::explained),
--- a/src/test/kotlin/org/honeyjunction/wire/GoldenStored.kt
+++ b/src/test/kotlin/org/honeyjunction/wire/GoldenStored.kt
@@ -210,11 +210,11 @@
     private const val EARLIER_PAGE = """{"write":8,"starts":["j-1",3,5,"vm-é1","j-2",[4,6,7],9,"vm-2"],"done":{"j-3":[1,2,3],"j-4":5}}"""
 
     /** As the leader stores what the cloud told it. */
-    private fun storedTypes() = checkNotNull(Write(Keys.TYPES, Json.read(OtherSide.types(types, zones))).json)
+    private fun storedTypes() = checkNotNull(Write(Keys.TYPES, Json.read(CounterpartCodec.machineTypes(types, zones))).json)
 
     private fun typesAgain(body: ByteArray): ByteArray {
         val cluster = cluster()
-        return OtherSide.types(CloudCodec.types(body, cluster).values.toList(), zones)
+        return CounterpartCodec.machineTypes(CloudCodec.machineTypes(body, cluster).values.toList(), zones)
     }
 
     val all: List<Golden> =
--- a/src/test/kotlin/org/honeyjunction/wire/GoldenTalks.kt
+++ b/src/test/kotlin/org/honeyjunction/wire/GoldenTalks.kt
@@ -45,18 +45,23 @@
     private fun election(): ByteArray {
         val answers =
             mapOf(
-                "GET /store/term" to OtherSide.entry("term", Json.obj().put("term", 41), 900, null),
-                "POST /leases" to OtherSide.lease(7_001),
-                "POST /commit" to OtherSide.revision(901),
+                "GET /store/term" to CounterpartCodec.entry("term", Json.newObject().put("term", 41), 900, null),
+                "POST /leases" to CounterpartCodec.lease(7_001),
+                "POST /commit" to CounterpartCodec.revision(901),
             )
         return stateTalk(answers) { check(Election("nöde-1", it, Clock, 3_500).observeOrAcquire(true)?.number == 42L) }
     }
 
     /** What the golden record of the term says to a node that looks. */
     private fun electionAgain(talk: ByteArray): ByteArray {
-        val puts = OtherSide.commit(String(talk).lines().last().substringAfter("/commit ").toByteArray()).puts.associateBy { it.first }
+        val puts =
+            CounterpartCodec
+                .commit(
+                    String(talk).lines().last().substringAfter("/commit ").toByteArray(),
+                ).writes
+                .associateBy { it.first }
         val lead = puts.getValue("lead")
-        val answers = mapOf("GET /store/lead" to OtherSide.entry("lead", lead.second!!, 901, lead.third))
+        val answers = mapOf("GET /store/lead" to CounterpartCodec.entry("lead", lead.second!!, 901, lead.third))
         stateTalk(answers) {
             val looker = Election("node-2", it, Clock, 3_500)
             check(looker.observeOrAcquire(true) == null && looker.leader == "nöde-1" && looker.term == 42L)
@@ -65,15 +70,15 @@
     }
 
     private fun stateClient(): ByteArray {
-        val first = OtherSide.rows(listOf(Triple("j/j-1", IntNode(1) as JsonNode, 9L)), true, 10)
+        val first = CounterpartCodec.entryPage(listOf(Triple("j/j-1", IntNode(1) as JsonNode, 9L)), true, 10)
         val answers =
             mapOf(
-                "GET /store/term" to OtherSide.entry("term", IntNode(41), 900, null),
+                "GET /store/term" to CounterpartCodec.entry("term", IntNode(41), 900, null),
                 "GET /store?Starts=j/&Most=500" to first,
-                "GET /store?Starts=j/&Since=j/j-1&Most=500" to OtherSide.rows(emptyList(), false, 11),
-                "GET /changes?Starts=j/&Since=10&BlockMs=1234" to OtherSide.changes(emptyList(), 12),
+                "GET /store?Starts=j/&Since=j/j-1&Most=500" to CounterpartCodec.entryPage(emptyList(), false, 11),
+                "GET /changes?Starts=j/&Since=10&BlockMs=1234" to CounterpartCodec.changes(emptyList(), 12),
                 "POST /leases/7001/extend" to ByteArray(0),
-                "POST /commit" to OtherSide.revision(13),
+                "POST /commit" to CounterpartCodec.revision(13),
             )
         return stateTalk(answers) {
             it.get("term")
@@ -89,11 +94,11 @@
     private fun cloudClient(): ByteArray {
         val answers =
             mapOf(
-                "GET /machine_types" to OtherSide.types(emptyList(), emptyList()),
+                "GET /machine_types" to CounterpartCodec.machineTypes(emptyList(), emptyList()),
                 "POST /rentals" to CloudCodec.names(listOf("vm-1")),
                 "POST /rentals/release" to ByteArray(0),
-                "GET /rentals?Most=500" to OtherSide.machines(emptyList(), { true }, false),
-                "GET /rentals?Since=vm-1&Most=500" to OtherSide.machines(emptyList(), { true }, false),
+                "GET /rentals?Most=500" to CounterpartCodec.instancePage(emptyList(), { true }, false),
+                "GET /rentals?Since=vm-1&Most=500" to CounterpartCodec.instancePage(emptyList(), { true }, false),
             )
         return talk(answers) { loop, address ->
             val cloud = CloudClient(loop, address, 1_000.0, Clock)
@@ -111,8 +116,8 @@
 
     /** The parts of a document, and the head that names them; values of 1 KiB, so that there are several parts. */
     private fun rules(): ByteArray {
-        val noParts = OtherSide.rows(emptyList(), false, 902)
-        val answers = mapOf("POST /commit" to OtherSide.revision(901), "GET /store?Starts=r/&Most=500" to noParts)
+        val noParts = CounterpartCodec.entryPage(emptyList(), false, 902)
+        val answers = mapOf("POST /commit" to CounterpartCodec.revision(901), "GET /store?Starts=r/&Most=500" to noParts)
         return talk(answers) { loop, address -> node(loop, address).rules!!.apply(document, null) }
     }
 
@@ -122,8 +127,12 @@
             String(talk)
                 .lines()
                 .filter { it.startsWith("POST /commit ") }
-                .map { OtherSide.commit(it.substringAfter("/commit ").toByteArray()) }
-        val answers = commits.flatMap { it.puts }.associate { (key, v, _) -> "GET /store/$key" to OtherSide.entry(key, v!!, 901, null) }
+                .map { CounterpartCodec.commit(it.substringAfter("/commit ").toByteArray()) }
+        val answers =
+            commits.flatMap { it.writes }.associate { (key, v, _) ->
+                "GET /store/$key" to
+                    CounterpartCodec.entry(key, v!!, 901, null)
+            }
         talk(answers) { loop, address ->
             val keeper = node(loop, address).rules!!
             keeper.refresh()
--- a/src/test/kotlin/org/honeyjunction/wire/HttpParserTest.kt
+++ b/src/test/kotlin/org/honeyjunction/wire/HttpParserTest.kt
@@ -11,27 +11,27 @@
 class HttpParserTest {
     private fun describe(outcome: HttpParser.Outcome) =
         when (outcome) {
-            is HttpParser.Done -> "${outcome.message.start.take(2).joinToString(" ")} ${String(outcome.message.body)}".trim()
+            is HttpParser.Complete -> "${outcome.message.startLine.take(2).joinToString(" ")} ${String(outcome.message.body)}".trim()
             is HttpParser.Failed -> "failed ${outcome.status}"
-            is HttpParser.More -> "more"
+            is HttpParser.Incomplete -> "more"
         }
 
     @ParameterizedTest
     @MethodSource("requests")
     fun `a request is parsed whole and byte by byte`(text: String, expected: String) {
-        val whole = HttpParser(HttpParser.Kind.REQUEST, HttpLimits(head = 200, body = 20))
+        val whole = HttpParser(HttpParser.Kind.REQUEST, HttpLimits(maxHeadBytes = 200, maxBodyBytes = 20))
         assertEquals(expected, describe(whole.feed(ByteBuffer.wrap(text.toByteArray()))))
-        val bytewise = HttpParser(HttpParser.Kind.REQUEST, HttpLimits(head = 200, body = 20))
+        val bytewise = HttpParser(HttpParser.Kind.REQUEST, HttpLimits(maxHeadBytes = 200, maxBodyBytes = 20))
         val outcomes = text.toByteArray().asSequence().map { bytewise.feed(ByteBuffer.wrap(byteArrayOf(it))) }
-        assertEquals(expected, describe(outcomes.firstOrNull { it !is HttpParser.More } ?: HttpParser.More), "byte by byte")
+        assertEquals(expected, describe(outcomes.firstOrNull { it !is HttpParser.Incomplete } ?: HttpParser.Incomplete), "byte by byte")
     }
 
     @ParameterizedTest
     @MethodSource("responses")
     fun `a response is parsed, also up to the end of the connection`(text: String, ends: Boolean, expected: String) {
-        val parser = HttpParser(HttpParser.Kind.RESPONSE, HttpLimits(head = 200, body = 20))
+        val parser = HttpParser(HttpParser.Kind.RESPONSE, HttpLimits(maxHeadBytes = 200, maxBodyBytes = 20))
         val fed = parser.feed(ByteBuffer.wrap(text.toByteArray()))
-        assertEquals(expected, describe(if (ends && fed is HttpParser.More) parser.end() else fed))
+        assertEquals(expected, describe(if (ends && fed is HttpParser.Incomplete) parser.endOfStream() else fed))
     }
 
     @Test
@@ -41,7 +41,7 @@
         assertEquals("POST /a hi", describe(parser.feed(input)))
         assertEquals("GET /b", describe(parser.feed(input)))
         assertEquals("more", describe(parser.feed(input)))
-        assertEquals(false, parser.midway)
+        assertEquals(false, parser.isMidMessage)
     }
 
     companion object {
