--- a/src/main/kotlin/org/honeyjunction/timeline/EventNames.kt
+++ b/src/main/kotlin/org/honeyjunction/timeline/EventNames.kt
@@ -1,16 +1,16 @@
 package org.honeyjunction.timeline
 
 /**
- * The names of log events (`leader-elected` of `INFO Election - leader-elected: term 3`).
+ * The names of log events (`leader-elected` in `INFO Election - leader-elected: term 3`).
  *
- * Logs written by versions before the renaming carry other names; [current] maps them, so that logs of both versions can be
- * merged during and after a rolling upgrade.
+ * Earlier versions logged some events under other names. [current] maps those names, so that logs of different versions can be merged
+ * during and after a rolling upgrade.
  */
 object EventNames {
-    /** A controller has won the election of a term. Orders log lines between nodes, see [Timeline.merge]. */
+    /** A controller won the election of a term. [Timeline.merge] uses this event to order the log lines of different nodes. */
     const val LEADER_ELECTED = "leader-elected"
 
-    /** Event names of earlier versions and the names that replaced them. Entries stay as long as such logs are kept. */
+    /** Maps event names of earlier versions to the names that replaced them. An entry is needed as long as such logs are retained. */
     val RENAMED: Map<String, String> =
         mapOf(
             "node-up" to "node-started",
@@ -31,6 +31,6 @@
             "machines-released" to "instances-scaled-in",
         )
 
-    /** The present name of the event that a log of any version calls [name]. */
+    /** The current name of the event that some version logged as [name]. */
     fun current(name: String): String = RENAMED[name] ?: name
 }
--- a/src/main/kotlin/org/honeyjunction/timeline/LogEntry.kt
+++ b/src/main/kotlin/org/honeyjunction/timeline/LogEntry.kt
@@ -1,17 +1,18 @@
 package org.honeyjunction.timeline
 
 /**
- * One line of a node's log with the lines that continue it (a stack trace).
+ * An entry of a node's log: a line with the lines that continue it (a stack trace).
  *
- * @property file the log that the line comes from
- * @property number the line's number within [file], from 1
- * @property text the line without its timestamp, as it was written
- * @property continuation the lines that follow without level and logger
+ * @property file the name of the log file
+ * @property lineNumber the number of the entry's first line in [file], from 1
+ * @property timestamp the timestamp of the first line
+ * @property text the first line without its timestamp
+ * @property continuation the lines that follow the first one and have no level of their own, without their timestamps
  */
-class LogEntry(val file: String, val number: Int, val timestamp: HybridTimestamp, val text: String, val continuation: List<String>) {
+class LogEntry(val file: String, val lineNumber: Int, val timestamp: HybridTimestamp, val text: String, val continuation: List<String>) {
     /**
-     * The event's name, `leader-elected` of `INFO Election - leader-elected: term 3`, in the present version's words whatever
-     * version wrote the line; null for a line that is no event.
+     * The name of the event, `leader-elected` in `INFO Election - leader-elected: term 3`; names of earlier versions are replaced by
+     * the current ones. Null for an entry that is not an event.
      */
     val event: String? get() = EVENT.find(text)?.groupValues?.get(1)?.let(EventNames::current)
 
--- a/src/main/kotlin/org/honeyjunction/timeline/OrderedEntry.kt
+++ b/src/main/kotlin/org/honeyjunction/timeline/OrderedEntry.kt
@@ -1,17 +1,17 @@
 package org.honeyjunction.timeline
 
-/** Why an entry of the merged order comes after the one before it. */
+/** The reason why an entry of the merged order comes after the entry before it. */
 enum class OrderEvidence {
-    /** It is the first of all, or both are lines of one node's log. */
+    /** Both entries are from the same log, or there is no entry before this one. */
     SAME_NODE,
 
-    /** The clocks' error bounds do not overlap. */
+    /** The possible true times of the two entries do not overlap, so the clocks prove the order. */
     CLOCKS,
 
-    /** The writer knows a term, so it wrote after that term's election. */
+    /** The entry before is the election of a term that the node already knew, so the node wrote this entry later. */
     TERMS,
 
-    /** None: they are shown in the order of their clocks, which may be wrong. */
+    /** Nothing proves the order: the entries are in the order of their nodes' clocks, which may be wrong. */
     UNKNOWN,
 }
 
--- a/src/main/kotlin/org/honeyjunction/timeline/Timeline.kt
+++ b/src/main/kotlin/org/honeyjunction/timeline/Timeline.kt
@@ -3,15 +3,16 @@
 /**
  * Merges the logs of several nodes into one order.
  *
- * Within a node, lines keep the order in which they were written, whatever its clock did. Between nodes, what is certain is kept:
- * - a line whose clock bound ends before another's begins comes first;
- * - the election of a term comes before every line of a node that knows this term or a later one. That a node does not know a term
- *   yet proves nothing about when it wrote.
+ * Entries of one node keep the order in which they were written, even if the node's clock was set back. Entries of different nodes are
+ * in an order that is certain in two cases:
+ * - an entry whose latest possible time is before another entry's earliest possible time comes first;
+ * - the election of a term comes before every entry of another node that knows this term or a later one. The reverse does not hold:
+ *   an entry of a node that does not know the term yet may have been written before or after the election.
  *
- * Whatever remains is ordered by the clocks alone and marked [OrderEvidence.UNKNOWN].
+ * All other entries are ordered by the clocks alone and marked [OrderEvidence.UNKNOWN].
  */
 object Timeline {
-    /** Merges [logs], the entries of one node each in the order written. */
+    /** Merges [logs]; each of them has the entries of one node, in the order in which they were written. */
     fun merge(logs: List<List<LogEntry>>): List<OrderedEntry> {
         val elections = firstElectionByTerm(logs)
         val next = IntArray(logs.size)
@@ -21,8 +22,8 @@
             val unfinished = logs.indices.filter { next[it] < logs[it].size }
             if (unfinished.isEmpty()) return merged
             val unblocked = unfinished.filter { !awaitsElection(logs[it][next[it]], elections, emitted) }
-            // If every log waits, the terms contradict each other: the clocks decide.
-            val log = unblocked.ifEmpty { unfinished }.minBy { logs[it][next[it]].timestamp.at }
+            // If every log waits for an election, the terms contradict each other, and the clocks decide.
+            val log = unblocked.ifEmpty { unfinished }.minBy { logs[it][next[it]].timestamp.time }
             val entry = logs[log][next[log]++]
             merged += OrderedEntry(entry, evidence(merged.lastOrNull()?.entry, entry))
             emitted += entry
@@ -34,9 +35,9 @@
             .flatten()
             .filter { it.event == EventNames.LEADER_ELECTED }
             .groupBy { it.timestamp.term }
-            .mapValues { (_, elections) -> elections.minBy { it.timestamp.at } }
+            .mapValues { (_, elections) -> elections.minBy { it.timestamp.time } }
 
-    /** Whether an election on another node, which must come before [entry], has not been emitted yet. */
+    /** Whether [entry] has to come after an election on another node that has not been emitted yet. */
     private fun awaitsElection(entry: LogEntry, elections: Map<Long, LogEntry>, emitted: Set<LogEntry>): Boolean =
         elections.any { (term, election) ->
             term <= entry.timestamp.term && election.timestamp.node != entry.timestamp.node && election !in emitted
--- a/src/main/kotlin/org/honeyjunction/wire/CheckpointCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/CheckpointCodec.kt
@@ -9,11 +9,11 @@
 import org.honeyjunction.core.fairness.FairnessGroup
 import org.honeyjunction.core.fairness.ServedCount
 
-/** Stored values of the checkpoints that one leader writes and the next one reads. Readers throw [MalformedException]. */
+/** Encodes the checkpoints that a leader stores and its successor restores from. Readers throw [MalformedException]. */
 object CheckpointCodec {
     private const val SERVED_FIELDS = 3
 
-    /** A page of machine checkpoints, by machine name. */
+    /** Encodes a page of machine checkpoints, keyed by machine name. */
     fun writeMachines(machines: List<MachineCheckpoint>): ObjectNode =
         Json.newObject().apply { machines.forEach { putObject(it.name).putMachine(it) } }
 
@@ -28,6 +28,7 @@
         machine.images.forEach { (name, gb) -> images.put(name, gb) }
     }
 
+    /** Reads a page that [writeMachines] wrote. */
     fun readMachines(value: JsonNode): List<MachineCheckpoint> = value.properties().map { (name, machine) -> readMachine(name, machine) }
 
     private fun readMachine(name: String, machine: JsonNode) =
@@ -42,7 +43,7 @@
             machine.fieldOrNull("idle")?.longValue(),
         )
 
-    /** The leader checkpoint: failures by job, boot times by offer, and served work by fairness group. */
+    /** Encodes the leader checkpoint: failures by job, boot times by offer, and served work by fairness group. */
     fun writeLeader(checkpoint: LeaderCheckpoint): ObjectNode =
         Json.newObject().apply {
             val jobs = putObject("jobs")
@@ -50,7 +51,7 @@
             val boots = putArray("boots")
             checkpoint.boots.forEach { boots.addObject().putBootTimes(it) }
             for (kind in FairnessGroup.Kind.entries) {
-                val groups = putObject(fieldOf(kind))
+                val groups = putObject(fieldName(kind))
                 checkpoint.served.filterKeys { it.kind == kind }.forEach { (group, served) ->
                     groups.putArray(group.name).add(served.accepted).add(served.started).add(served.done)
                 }
@@ -73,6 +74,7 @@
         put("late", boot.lateMs)
     }
 
+    /** Reads a checkpoint that [writeLeader] wrote. */
     fun readLeader(value: JsonNode) =
         LeaderCheckpoint(
             value.fieldOrNull("jobs")?.properties().orEmpty().map { (job, failures) -> readFailures(job, failures) },
@@ -100,10 +102,10 @@
         )
 
     private fun readServed(kind: FairnessGroup.Kind, checkpoint: JsonNode): List<Pair<FairnessGroup, ServedCount>> =
-        checkpoint.fieldOrNull(fieldOf(kind))?.properties().orEmpty().map { (name, served) ->
+        checkpoint.fieldOrNull(fieldName(kind))?.properties().orEmpty().map { (name, served) ->
             if (served.size() != SERVED_FIELDS || served.any { !it.isInt }) throw MalformedException("the tally of $name is invalid")
             FairnessGroup(kind, name) to ServedCount(served[0].intValue(), served[1].intValue(), served[2].intValue())
         }
 
-    private fun fieldOf(kind: FairnessGroup.Kind): String = kind.name.lowercase()
+    private fun fieldName(kind: FairnessGroup.Kind): String = kind.name.lowercase()
 }
--- a/src/main/kotlin/org/honeyjunction/wire/CloudCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/CloudCodec.kt
@@ -8,21 +8,21 @@
 import org.honeyjunction.core.model.NameTable
 import org.honeyjunction.core.model.Resources
 
-/** Requests to the cloud and its responses. Readers throw [MalformedException]. */
+/** Encodes requests to the cloud and reads its responses. Readers throw [MalformedException]. */
 object CloudCodec {
     /** One page of the cloud's list of instances; [more] says whether another page follows. */
     class Page(val machines: List<ListedMachine>, val more: Boolean)
 
     /**
-     * Machine types by their number in [cluster], whose name tables get the new types and zones.
+     * Reads the machine types, keyed by their number in [cluster]. Types and zones that are new are added to the cluster's name tables.
      *
-     * @throws MalformedException also where there are more types or zones than the tables can hold
+     * @throws MalformedException also if there are more types or zones than the tables can hold
      */
     fun machineTypes(body: ByteArray, cluster: Cluster): Map<Int, MachineType> =
         Json.readObject(body).list(ProtocolNames.MACHINE_TYPES).associate { type ->
             val name = type.text(ProtocolNames.TYPE_NAME)
             val number = cluster.typeNames.indexWithin(name, Cluster.MAX_TYPES)
-            bounded(number, "${ProtocolNames.MACHINE_TYPES}: more than ${Cluster.MAX_TYPES}") to readType(name, type, cluster)
+            requireIndex(number, "${ProtocolNames.MACHINE_TYPES}: more than ${Cluster.MAX_TYPES}") to readType(name, type, cluster)
         }
 
     private fun readType(name: String, type: JsonNode, cluster: Cluster) =
@@ -40,12 +40,12 @@
     private fun readZone(node: JsonNode, cluster: Cluster): Int {
         val zone = node.textValue() ?: throw MalformedException("${ProtocolNames.ZONES} is invalid")
         val number = cluster.zones.indexWithin(zone, Cluster.MAX_ZONES)
-        return bounded(number, "${ProtocolNames.ZONES}: more than ${Cluster.MAX_ZONES} zones")
+        return requireIndex(number, "${ProtocolNames.ZONES}: more than ${Cluster.MAX_ZONES} zones")
     }
 
-    private fun bounded(number: Int, error: String): Int = if (number == NameTable.ABSENT) throw MalformedException(error) else number
+    private fun requireIndex(number: Int, error: String): Int = if (number == NameTable.ABSENT) throw MalformedException(error) else number
 
-    /** The request for new instances; its id makes a repetition harmless. */
+    /** Encodes a request for new instances. It carries an idempotency key, so that a retry starts no further instances. */
     fun scaleOut(request: Effect.ScaleOut): ByteArray {
         val body = Json.newObject()
         body.put(ProtocolNames.REQUEST_ID, request.request)
@@ -56,7 +56,7 @@
         return Json.write(body)
     }
 
-    /** A list of instance names. */
+    /** Encodes a list of instance names. */
     fun names(machines: List<String>): ByteArray {
         val body = Json.newObject()
         body.putArray(ProtocolNames.MACHINES).apply { machines.forEach(::add) }
@@ -66,7 +66,7 @@
     /** Reads what [names] writes: the instances that a scale-out request started, or that a scale-in request is about. */
     fun readNames(body: ByteArray): List<String> = Json.readObject(body).list(ProtocolNames.MACHINES).mapNotNull { it.textValue() }
 
-    /** A page of the list of instances. */
+    /** Reads a page of the list of instances. */
     fun instancePage(body: ByteArray): Page {
         val page = Json.readObject(body)
         val machines = page.list(ProtocolNames.MACHINES).map(::readMachine)
--- a/src/main/kotlin/org/honeyjunction/wire/CounterpartCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/CounterpartCodec.kt
@@ -12,22 +12,22 @@
 import org.honeyjunction.wire.ProtocolNames.nameOf
 
 /**
- * The other sides of the interfaces, for fakes and tests: what workers, the cloud, the key-value store and users write and
- * read. Readers throw [MalformedException].
+ * The counterparts of the codecs of this package, for fakes and tests: encodes and reads messages as workers, the cloud, the
+ * key-value store and users do. Readers throw [MalformedException].
  */
 object CounterpartCodec {
-    /** Commands as a worker receives them, with the fencing [token] and its agent incarnation [session]; -1 where absent. */
+    /** Commands that a worker received, with the leader's fencing [token] and the worker's incarnation [session]; -1 for absent ones. */
     class Commands(val token: Long, val session: Long, val commands: List<Command>)
 
-    /** A scale-out request as the cloud receives it; [ScaleOutRequest.requestId] is its idempotency key. */
+    /** A scale-out request that the cloud received; [requestId] is its idempotency key. */
     class ScaleOutRequest(val requestId: String, val type: String, val zone: String, val spot: Boolean, val count: Int)
 
-    /** A transaction as the store receives it: versions by key, and puts as key, value (null: a delete) and lease. */
+    /** A transaction that the store received: expected versions by key, and writes as key, value (null for a delete) and lease. */
     class TransactionRequest(val conditions: Map<String, Long>, val writes: List<Triple<String, JsonNode?, Long?>>)
 
     private const val ABSENT = -1L
 
-    /** A heartbeat as its worker sends it. */
+    /** Encodes a heartbeat that a worker sends. */
     fun heartbeat(heartbeat: Heartbeat): ByteArray {
         val body = Json.newObject()
         body.put(ProtocolNames.MACHINE, heartbeat.machine)
@@ -61,13 +61,13 @@
         put(ProtocolNames.CHECKPOINT_SAVED, state.saved)
     }
 
-    /** Commands as a worker reads them; it drops those without a fencing token, as it drops those with a lower one. */
+    /** Reads commands for a worker. The fencing token may be absent: a worker drops such commands like those with an outdated token. */
     fun commands(body: ByteArray): Commands {
-        val call = Json.readObject(body)
+        val request = Json.readObject(body)
         return Commands(
-            call.fieldOrNull(ProtocolNames.FENCING_TOKEN)?.longValue() ?: ABSENT,
-            call.fieldOrNull(ProtocolNames.INCARNATION)?.longValue() ?: ABSENT,
-            call.listOrEmpty(ProtocolNames.COMMANDS).map(::command),
+            request.fieldOrNull(ProtocolNames.FENCING_TOKEN)?.longValue() ?: ABSENT,
+            request.fieldOrNull(ProtocolNames.INCARNATION)?.longValue() ?: ABSENT,
+            request.listOrEmpty(ProtocolNames.COMMANDS).map(::command),
         )
     }
 
@@ -82,10 +82,10 @@
         }
     }
 
-    /** The leader that a redirect names; null where it names none. */
+    /** The leader that a redirect names; null if it names none. */
     fun redirect(body: ByteArray): String? = Json.readObject(body).textOrNull(ProtocolNames.LEADER)
 
-    /** The cloud's machine types; their zones are numbers in [zones]. */
+    /** Encodes the cloud's machine types; [MachineType.zones] are indices into [zones]. */
     fun machineTypes(types: List<MachineType>, zones: List<String>): ByteArray {
         val body = Json.newObject()
         body.putArray(ProtocolNames.MACHINE_TYPES).apply { types.forEach { addObject().putType(it, zones) } }
@@ -105,19 +105,19 @@
         putArray(ProtocolNames.ZONES).apply { type.zones.forEach { add(zones[it]) } }
     }
 
-    /** A scale-out request as the cloud reads it. */
+    /** Reads a scale-out request. */
     fun scaleOutRequest(body: ByteArray): ScaleOutRequest {
-        val call = Json.readObject(body)
+        val request = Json.readObject(body)
         return ScaleOutRequest(
-            call.text(ProtocolNames.REQUEST_ID),
-            call.text(ProtocolNames.MACHINE_TYPE),
-            call.text(ProtocolNames.ZONE),
-            call.flag(ProtocolNames.SPOT),
-            call.count(ProtocolNames.COUNT).toInt(),
+            request.text(ProtocolNames.REQUEST_ID),
+            request.text(ProtocolNames.MACHINE_TYPE),
+            request.text(ProtocolNames.ZONE),
+            request.flag(ProtocolNames.SPOT),
+            request.count(ProtocolNames.COUNT).toInt(),
         )
     }
 
-    /** A page of the cloud's list of instances; [isUp] says which ones have booted. */
+    /** Encodes a page of the cloud's list of instances; [isUp] says whether the instance of a name has booted. */
     fun instancePage(instances: List<ListedMachine>, isUp: (String) -> Boolean, more: Boolean): ByteArray {
         val body = Json.newObject().put(ProtocolNames.MORE, more)
         body.putArray(ProtocolNames.MACHINES).apply { instances.forEach { addObject().putMachine(it, isUp) } }
@@ -140,11 +140,11 @@
         put(ProtocolNames.AGE_S, machine.rentedForS)
     }
 
-    /** A transaction as the key-value store reads it. */
+    /** Reads a transaction. */
     fun commit(body: ByteArray): TransactionRequest {
-        val call = Json.readObject(body)
-        val writes = call.listOrEmpty(ProtocolNames.WRITES).map(::write)
-        val conditions = call.listOrEmpty(ProtocolNames.CONDITIONS)
+        val request = Json.readObject(body)
+        val writes = request.listOrEmpty(ProtocolNames.WRITES).map(::write)
+        val conditions = request.listOrEmpty(ProtocolNames.CONDITIONS)
         return TransactionRequest(conditions.associate { it.text(ProtocolNames.KEY) to it.count(ProtocolNames.VERSION) }, writes)
     }
 
@@ -154,23 +154,23 @@
         return Triple(put, value, node.fieldOrNull(ProtocolNames.LEASE)?.longValue())
     }
 
-    /** The time to live of a requested lease, in milliseconds. */
+    /** Reads the time to live of a requested lease, in milliseconds. */
     fun leaseTtlMs(body: ByteArray): Long = Json.readObject(body).count(ProtocolNames.TTL_MS)
 
-    /** The response to a request for a lease. */
+    /** Encodes the response to a request for a lease. */
     fun lease(id: Long): ByteArray = Json.write(Json.newObject().put(ProtocolNames.LEASE, id))
 
-    /** The response to a transaction that was applied. */
+    /** Encodes the response to a transaction that was applied. */
     fun revision(revision: Long): ByteArray = Json.write(Json.newObject().put(ProtocolNames.REVISION, revision))
 
-    /** The response to a transaction whose conditions on the keys [failed] did not hold. */
+    /** Encodes the response to a transaction whose conditions on the keys [failed] did not hold. */
     fun conflict(failed: List<String>, revision: Long): ByteArray {
         val body = Json.newObject().put(ProtocolNames.REVISION, revision)
         body.putArray(ProtocolNames.FAILED).apply { failed.forEach(::add) }
         return Json.write(body)
     }
 
-    /** The response to a read of one key. */
+    /** Encodes the response to a read of one key. */
     fun entry(key: String, value: JsonNode, version: Long, lease: Long?): ByteArray =
         Json.write(Json.newObject().apply { putEntry(key, value, version, lease) })
 
@@ -181,7 +181,7 @@
         set<JsonNode>(ProtocolNames.VALUE, value)
     }
 
-    /** A page of a scan: entries as key, value and version. */
+    /** Encodes a page of a scan; each of [entries] has key, value and version. */
     fun entryPage(entries: List<Triple<String, JsonNode, Long>>, more: Boolean, revision: Long): ByteArray {
         val body = Json.newObject().put(ProtocolNames.MORE, more).put(ProtocolNames.REVISION, revision)
         body.putArray(ProtocolNames.ENTRIES).apply {
@@ -190,7 +190,7 @@
         return Json.write(body)
     }
 
-    /** The response to a watch: changes as key, value (null: deleted) and version. */
+    /** Encodes the response to a watch; each of [changes] has key, value (null for a deleted key) and version. */
     fun changes(changes: List<Triple<String, JsonNode?, Long>>, revision: Long): ByteArray {
         val body = Json.newObject().put(ProtocolNames.REVISION, revision)
         body.putArray(ProtocolNames.CHANGES).apply {
@@ -208,7 +208,7 @@
         }
     }
 
-    /** The state that a user reads of a job, in the program's words: queued, running, done, cancelled. */
+    /** Reads a job's state in the terms of this program: queued, running, done or cancelled. */
     fun jobState(body: ByteArray): String {
         val state = Json.readObject(body).text(ProtocolNames.STATE)
         return if (state == ProtocolNames.JOB_CANCELLED) "cancelled" else state
--- a/src/main/kotlin/org/honeyjunction/wire/ExplainCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/ExplainCodec.kt
@@ -7,16 +7,18 @@
 import org.honeyjunction.core.control.jobs.Explanation
 import org.honeyjunction.core.control.jobs.RuleLine
 
-/** Why tasks are where they are: written by a controller, and read as lines of text by the operator's command. */
+/** Encodes explanations of task placements: controllers write them as JSON, the operator's command renders them as lines of text. */
 object ExplainCodec {
-    /** Longest clause that is read, in characters. */
-    private const val MAX_CLAUSE = 20_000
+    /** Maximum length of a clause, in characters. */
+    private const val MAX_CLAUSE_LENGTH = 20_000
     private const val MS_PER_S = 1000.0
 
-    /** Explanations of tasks of [job] at the steady time [now], in milliseconds; [more] says whether others were left out. */
-    fun write(job: String, all: List<Explanation>, now: Long, more: Boolean): ByteArray {
+    /**
+     * Encodes [explanations] of tasks of [job] at the monotonic time [now], in milliseconds; [more] says whether tasks were left out.
+     */
+    fun write(job: String, explanations: List<Explanation>, now: Long, more: Boolean): ByteArray {
         val body = Json.newObject().put("job", job).put("more", more)
-        body.putArray("tasks").apply { all.forEach { addObject().putExplanation(it, now) } }
+        body.putArray("tasks").apply { explanations.forEach { addObject().putExplanation(it, now) } }
         return Json.write(body)
     }
 
@@ -51,10 +53,10 @@
         put("clause", alternative.clause)
     }
 
-    /** What [write] wrote, as lines for people. */
-    fun lines(explained: JsonNode): List<String> {
-        val lines = explained.list("tasks").flatMap(::taskLines)
-        return if (explained.flag("more")) lines + "(more tasks: ask for one as JOB/TASK)" else lines
+    /** Renders a document that [write] encoded as lines of text. */
+    fun lines(document: JsonNode): List<String> {
+        val lines = document.list("tasks").flatMap(::taskLines)
+        return if (document.flag("more")) lines + "(more tasks: ask for one as JOB/TASK)" else lines
     }
 
     private fun taskLines(task: JsonNode): List<String> {
@@ -83,13 +85,13 @@
     private fun ruleText(rule: JsonNode): String {
         val verdict = if (rule.flag("met")) "met   " else "BROKEN"
         val cost = rule.amountOrNull("cost_gb")?.let { ": costs $it GB" }.orEmpty()
-        return "$verdict  \"${rule.text("rule")}\"  ${rule.text("clause", MAX_CLAUSE)}$cost"
+        return "$verdict  \"${rule.text("rule")}\"  ${rule.text("clause", MAX_CLAUSE_LENGTH)}$cost"
     }
 
     private fun alternativeText(alternative: JsonNode): String {
         val machine = alternative.text("machine")
         val cost = alternative.amount("cost_gb")
         val rule = alternative.text("rule")
-        return "$machine would have cost $cost GB, but rule \"$rule\" forbids it: ${alternative.text("clause", MAX_CLAUSE)}"
+        return "$machine would have cost $cost GB, but rule \"$rule\" forbids it: ${alternative.text("clause", MAX_CLAUSE_LENGTH)}"
     }
 }
--- a/src/main/kotlin/org/honeyjunction/wire/Http.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/Http.kt
@@ -3,9 +3,9 @@
 /**
  * An HTTP response, sent or received.
  *
- * @property retryAfterS seconds of the `Retry-After` header
- * @property close whether the connection is closed after it (only of those sent)
- * @property headers further headers (only of those sent)
+ * @property retryAfterS value of the `Retry-After` header, in seconds; null without the header
+ * @property close whether the server closes the connection after the response; set only on responses to send
+ * @property headers additional headers; set only on responses to send
  */
 class Response(
     val status: Int,
@@ -15,6 +15,7 @@
     val headers: Map<String, String> = emptyMap(),
 ) {
     companion object {
+        /** Body of a message without content. */
         val NO_BODY = ByteArray(0)
     }
 }
@@ -25,7 +26,7 @@
     val path: String get() = target.substringBefore('?')
 }
 
-/** The bytes of HTTP/1.1 messages. Every body has its length in a header; there is no chunked encoding. */
+/** Encodes HTTP/1.1 messages. The length of each body is in the `Content-Length` header; chunked encoding is never used. */
 object HttpWriter {
     private val defaultHeaders = mapOf("Content-Type" to "application/json")
     private val reasons =
@@ -47,6 +48,7 @@
             503 to "Service Unavailable",
         )
 
+    /** Encodes [response]; a status without a known reason phrase gets a generic one. */
     fun response(response: Response): ByteArray {
         val head = StringBuilder("HTTP/1.1 ").append(response.status).append(' ')
         head.append(reasons[response.status] ?: "Status").append(LINE_END)
@@ -57,7 +59,7 @@
         return message(head, response.body)
     }
 
-    /** [host] is the value of the `Host` header. */
+    /** Encodes [request]; [host] is the value of the `Host` header. */
     fun request(host: String, request: Request): ByteArray {
         val head = StringBuilder(request.method).append(' ').append(request.target).append(" HTTP/1.1").append(LINE_END)
         head.header("Host", host)
--- a/src/main/kotlin/org/honeyjunction/wire/JobCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/JobCodec.kt
@@ -9,29 +9,29 @@
 import org.honeyjunction.core.model.Resources
 import org.honeyjunction.wire.ProtocolNames.nameOf
 
-/** Jobs as users submit them and as the key-value store keeps them. Readers throw [MalformedException]. */
+/** Encodes jobs as users submit them and as the key-value store holds them. Readers throw [MalformedException]. */
 object JobCodec {
-    private val idForm = Regex("j-[0-9]{1,30}")
+    private val idPattern = Regex("j-[0-9]{1,30}")
     private const val MAX_TASKS = 100_000L
     private const val MAX_TYPES = 32
     private const val MAX_TYPE_LENGTH = 100
 
-    // Fields of a stored record; the program's own.
+    // Fields of a stored record; they are not part of the users' protocol.
     private const val JOB = "job"
     private const val OWNER = "owner"
     private const val CREATED = "created"
     private const val STAGE = "stage"
 
     /** Whether [id] has the form of a job id. */
-    fun isId(id: String) = idForm.matches(id)
+    fun isId(id: String) = idPattern.matches(id)
 
-    /** The job id that a submission names, whatever else is wrong with it; null where it names none. */
+    /** The job id in a submission, even if the submission is otherwise invalid; null if it has no valid id. */
     fun id(body: ByteArray): String? = JobHeadReader.id(body)
 
-    /** The part of a submission that admission control needs, read cheaply; null where it can't be read in this way. */
+    /** The fields that admission control needs, read without parsing the whole submission; null if they can't be read this way. */
     fun head(body: ByteArray): JobHead? = JobHeadReader.head(body)
 
-    /** The job that a user submitted. */
+    /** Reads and validates a job that a user submitted. */
     fun spec(job: ObjectNode): JobSpec {
         val id = job.text(ProtocolNames.ID).takeIf(::isId) ?: throw MalformedException("${ProtocolNames.ID} is invalid")
         val tasks = job.count(ProtocolNames.TASKS)
@@ -41,8 +41,8 @@
             id,
             job.text(ProtocolNames.JOB_CLASS),
             job.text(ProtocolNames.TEAM),
-            known(job, ProtocolNames.JOB_KIND, ProtocolNames.JOB_KINDS),
-            known(job, ProtocolNames.PRIORITY, ProtocolNames.PRIORITIES),
+            enumValue(job, ProtocolNames.JOB_KIND, ProtocolNames.JOB_KINDS),
+            enumValue(job, ProtocolNames.PRIORITY, ProtocolNames.PRIORITIES),
             tasks.toInt(),
             need,
             job.text(ProtocolNames.IMAGE),
@@ -73,10 +73,10 @@
         return types.map { it.textValue() }
     }
 
-    private fun <T> known(node: JsonNode, field: String, values: Map<String, T>): T =
+    private fun <T> enumValue(node: JsonNode, field: String, values: Map<String, T>): T =
         values[node.text(field)] ?: throw MalformedException("$field is unknown")
 
-    /** [spec] as its user would submit it. */
+    /** Encodes [spec] in the form in which users submit jobs. */
     fun write(spec: JobSpec): ObjectNode =
         Json.newObject().apply {
             put(ProtocolNames.ID, spec.id)
@@ -101,7 +101,12 @@
             spec.deadlineS?.let { put(ProtocolNames.DEADLINE_S, it) }
         }
 
-    /** The stored value of a job; [owner] is the node whose shard it belongs to, [createdAtWall] milliseconds of wall time. */
+    /**
+     * Encodes the stored record of a job.
+     *
+     * @param owner the node to whose shard the job belongs
+     * @param createdAtWall wall-clock time of the submission, in milliseconds since the epoch
+     */
     fun record(spec: JobSpec, owner: String, createdAtWall: Long, stage: JobStage): ObjectNode =
         Json.newObject().apply {
             set<JsonNode>(JOB, write(spec))
@@ -110,7 +115,7 @@
             put(STAGE, stage.name)
         }
 
-    /** The job of a stored [value] at [version] of its key. */
+    /** Reads a stored record; [version] is the version of its key. */
     fun stored(value: JsonNode, version: Long): StoredJob =
         StoredJob(
             spec(value.fieldOrNull(JOB) as? ObjectNode ?: throw MalformedException("$JOB is missing")),
@@ -120,7 +125,7 @@
             JobStage.valueOf(value.text(STAGE)),
         )
 
-    /** The protocol's name of the job's state. */
+    /** The name that the users' protocol gives to the job's state. */
     fun stage(status: JobStatus): String =
         when (status.stage) {
             JobStage.DONE -> ProtocolNames.JOB_DONE
@@ -128,7 +133,7 @@
             JobStage.ACTIVE -> if (status.running > 0) ProtocolNames.JOB_RUNNING else ProtocolNames.JOB_QUEUED
         }
 
-    /** The response to a user's question about job [id]; with the numbers of its tasks where [counts]. */
+    /** The body of the response to a status query for job [id]; with [counts], it has the numbers of finished and running tasks. */
     fun statusResponse(id: String, status: JobStatus, counts: Boolean): ByteArray {
         val body = Json.newObject().put(ProtocolNames.ID, id).put(ProtocolNames.STATE, stage(status))
         if (counts) body.put("done", status.done).put("running", status.running)
--- a/src/main/kotlin/org/honeyjunction/wire/JobHeadReader.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/JobHeadReader.kt
@@ -5,17 +5,17 @@
 import org.honeyjunction.core.model.Priority
 import java.io.IOException
 
-/** The part of a job that admission control decides by. */
+/** The fields of a job on which admission control bases its decision. */
 class JobHead(val id: String, val team: String, val jobClass: String, val priority: Priority)
 
 /**
- * Reads the beginning of a submitted job token by token, without building the rest, which costs several times as much: an
- * overloaded node has to reject jobs cheaply.
+ * Reads the beginning of a submitted job token by token. Parsing the whole job costs several times as much, and an overloaded node
+ * has to reject jobs cheaply.
  */
 internal object JobHeadReader {
     private val HEAD_FIELDS = setOf(ProtocolNames.ID, ProtocolNames.TEAM, ProtocolNames.JOB_CLASS, ProtocolNames.PRIORITY)
 
-    /** The job id in [body], whatever else is wrong with it; null where it has no valid one. */
+    /** The job id in [body], even if the job is otherwise invalid; null if it has no valid id. */
     fun id(body: ByteArray): String? =
         parse(body) { parser ->
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
@@ -27,7 +27,7 @@
             null
         }
 
-    /** The head of the job in [body]; null where it can't be read in this way, for whatever reason. */
+    /** The head of the job in [body]; null if a field is missing or invalid, or [body] is not a JSON object. */
     fun head(body: ByteArray): JobHead? {
         val fields = parse(body, ::headFields) ?: return null
         return JobHead(
@@ -48,7 +48,7 @@
         return fields
     }
 
-    /** What [read] makes of the fields of the object in [body]; null where [body] is no JSON object. */
+    /** Calls [read] with a parser at the fields of the object in [body]; null if [body] is not a JSON object. */
     private inline fun <T> parse(body: ByteArray, read: (JsonParser) -> T?): T? =
         try {
             Json.parser(body).use { parser -> if (parser.nextToken() == JsonToken.START_OBJECT) read(parser) else null }
--- a/src/main/kotlin/org/honeyjunction/wire/JournalPageCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/JournalPageCodec.kt
@@ -8,17 +8,18 @@
 import java.util.BitSet
 
 /**
- * Stored values of the placement journal's pages. A page holds its starts as flat groups of four (job, task numbers, attempt,
- * machine) and its finished tasks by job; task numbers are text, see [TaskNumberSet].
+ * Encodes the pages of the placement journal. A page holds its recorded starts in one flat array, four items each (job, task numbers,
+ * attempt, machine), and the numbers of its finished tasks, keyed by job. Sets of task numbers are encoded as text, see
+ * [TaskNumberSet].
  */
 object JournalPageCodec {
     private const val WRITE = "write"
     private const val STARTS = "starts"
     private const val DONE = "done"
-    private const val FIELDS_OF_START = 4
-    private const val MAX_SHOWN = 40
+    private const val FIELDS_PER_START = 4
+    private const val MAX_QUOTED_LENGTH = 40
 
-    /** The value of [page]; [write] tells this writing of the page from every other one. */
+    /** Encodes [page]; [write] identifies this write among all writes of the page. */
     fun write(page: JournalPageRecord, write: Long): ObjectNode =
         Json.newObject().apply {
             put(WRITE, write)
@@ -32,20 +33,24 @@
             page.done.forEach { (job, numbers) -> done.put(job, TaskNumberSet.text(numbers)) }
         }
 
-    /** Page [number] from its stored [value]. @throws MalformedException where the value is no page */
+    /**
+     * Reads page [number] from its stored [value] at [version] of its key.
+     *
+     * @throws MalformedException if the value is not a valid page
+     */
     fun read(number: Int, version: Long, value: JsonNode) =
         JournalPageRecord(
             number,
             version,
-            value.list(STARTS).chunked(FIELDS_OF_START).flatMap { readStarts(it, number) },
+            value.list(STARTS).chunked(FIELDS_PER_START).flatMap { readStarts(it, number) },
             value.fieldOrNull(DONE)?.properties().orEmpty().associate { (job, numbers) -> job to readNumbers(numbers, number) },
         )
 
-    /** Which writing of a page [value] is; null when it does not say. */
+    /** The number that [write] gave to the write that stored [value]; null if there is none. */
     fun writeNumber(value: JsonNode?): Long? = value?.fieldOrNull(WRITE)?.longValue()
 
     private fun readStarts(fields: List<JsonNode>, page: Int): List<RecordedStart> {
-        val valid = fields.size == FIELDS_OF_START && fields[0].isTextual && fields[2].isIntegralNumber && fields[3].isTextual
+        val valid = fields.size == FIELDS_PER_START && fields[0].isTextual && fields[2].isIntegralNumber && fields[3].isTextual
         if (!valid) throw MalformedException("page $page: a start is invalid")
         val (job, numbers, attempt, machine) = fields
         return readNumbers(numbers, page).stream().toArray().map { number ->
@@ -53,12 +58,12 @@
         }
     }
 
-    /** Earlier versions of this program wrote a single number, or an array of numbers. */
+    /** Reads a set of task numbers; earlier versions encoded it as a single number or as an array of numbers. */
     private fun readNumbers(value: JsonNode, page: Int): BitSet =
         when {
             value.isTextual ->
                 TaskNumberSet.read(value.textValue())
-                    ?: throw MalformedException("page $page: the numbers ${value.textValue().take(MAX_SHOWN)} are invalid")
+                    ?: throw MalformedException("page $page: the numbers ${value.textValue().take(MAX_QUOTED_LENGTH)} are invalid")
             isTaskNumber(value) -> BitSet().apply { set(value.intValue()) }
             value.isArray && value.all(::isTaskNumber) -> BitSet().apply { value.forEach { set(it.intValue()) } }
             else -> throw MalformedException("page $page: numbers are invalid")
--- a/src/main/kotlin/org/honeyjunction/wire/KeyValueCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/KeyValueCodec.kt
@@ -5,11 +5,11 @@
 import com.fasterxml.jackson.databind.util.RawValue
 
 /**
- * Requests to the key-value store and its responses. Readers throw [MalformedException] for a response without the fields that
- * they need.
+ * Encodes requests to the key-value store and reads its responses. Readers throw [MalformedException] if a required field is missing
+ * or invalid.
  */
 object KeyValueCodec {
-    /** A compare-and-swap transaction. */
+    /** Encodes a compare-and-swap transaction. */
     fun commit(conditions: Collection<Condition>, writes: List<Write>): ByteArray {
         val transaction = Json.newObject()
         transaction.putArray(ProtocolNames.CONDITIONS).apply {
@@ -30,12 +30,13 @@
         write.lease?.let { item.put(ProtocolNames.LEASE, it) }
     }
 
-    /** The store's revision after a transaction. */
+    /** Reads the store's revision after a transaction. */
     fun revision(body: ByteArray): Long = Json.readObject(body).count(ProtocolNames.REVISION)
 
-    /** Keys whose conditions failed: one or all of them. */
+    /** Reads the keys whose conditions failed; the store may name only one of them. */
     fun failedKeys(body: ByteArray): List<String> = Json.readObject(body).listOrEmpty(ProtocolNames.FAILED).mapNotNull { it.textValue() }
 
+    /** Reads the response to a read of one key. */
     fun entry(body: ByteArray): Entry = readEntry(Json.readObject(body))
 
     private fun readEntry(node: JsonNode) =
@@ -46,7 +47,7 @@
             node.fieldOrNull(ProtocolNames.LEASE)?.longValue(),
         )
 
-    /** A page of a scan. */
+    /** Reads a page of a scan. */
     fun entryPage(body: ByteArray): EntryPage {
         val page = Json.readObject(body)
         return EntryPage(
@@ -56,7 +57,7 @@
         )
     }
 
-    /** The response to a watch. */
+    /** Reads the response to a watch. */
     fun changes(body: ByteArray): ChangeBatch {
         val response = Json.readObject(body)
         val revision = response.count(ProtocolNames.REVISION)
@@ -70,21 +71,22 @@
         return KeyChange(key, value, node.count(ProtocolNames.VERSION))
     }
 
-    /** A request for a lease of [ttlMs] milliseconds. */
+    /** Encodes a request for a lease with a time to live of [ttlMs]. */
     fun leaseRequest(ttlMs: Long): ByteArray = Json.write(Json.newObject().put(ProtocolNames.TTL_MS, ttlMs))
 
+    /** Reads the id of a lease that was granted. */
     fun leaseId(body: ByteArray): Long = Json.readObject(body).count(ProtocolNames.LEASE)
 
-    /** The target that reads the entry at [key]. */
+    /** The request target for a read of [key]. */
     fun entryPath(key: String): String = "/store/$key"
 
-    /** The target that reads up to [limit] entries below [prefix], after key [after] (null: from the first one). */
+    /** The request target for a scan of up to [limit] keys that start with [prefix], from the one after key [after] (null: the first). */
     fun scanPath(prefix: String, after: String?, limit: Int): String {
         val start = if (after == null) "" else "&${ProtocolNames.AFTER}=$after"
         return "/store?${ProtocolNames.PREFIX}=$prefix$start&${ProtocolNames.LIMIT}=$limit"
     }
 
-    /** The target that waits up to [waitMs] for changes below [prefix] after [revision]. */
+    /** The request target for a watch that waits up to [waitMs] for changes of keys that start with [prefix] after [revision]. */
     fun changesPath(prefix: String, revision: Long, waitMs: Long): String =
         "/changes?${ProtocolNames.PREFIX}=$prefix&${ProtocolNames.AFTER}=$revision&${ProtocolNames.WAIT_MS}=$waitMs"
 }
--- a/src/main/kotlin/org/honeyjunction/wire/PeerCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/PeerCodec.kt
@@ -11,11 +11,12 @@
 import org.honeyjunction.core.placement.Proposal
 
 /**
- * Frames between controllers: the length of what follows (an int), the kind of message (a byte), and the message's fields in
- * the order in which [PeerMessage] declares them. Controllers of different versions talk to each other, so no byte may change.
+ * Encodes frames between controllers: the length of the rest of the frame (an int), the kind of message (a byte), and the message's
+ * fields in the order in which [PeerMessage] declares them. Controllers of different versions communicate during a rolling upgrade,
+ * so the encoding must not change.
  */
 object PeerCodec {
-    /** Longest frame that is accepted, in bytes without the length itself. */
+    /** Maximum length of a frame, in bytes, without its length field. */
     const val MAX_FRAME = 1024 * 1024L
     private const val SUMMARY_REQUEST = 1
     private const val SUMMARY_RESPONSE = 2
@@ -29,7 +30,7 @@
     private const val TERM_CONFIRMATION_REQUEST = 10
     private const val TERM_CONFIRMATION = 11
 
-    /** The whole frame of [message]. */
+    /** Encodes [message] as a whole frame. */
     fun encode(message: PeerMessage): ByteArray {
         val body = Buffer()
         body.writeMessage(message)
@@ -37,9 +38,9 @@
     }
 
     /**
-     * Removes the next frame from [input]; null, with nothing removed, while the frame is incomplete.
+     * Removes the next frame from [input] and decodes it; null, with nothing removed, while the frame is incomplete.
      *
-     * @throws MalformedException when the bytes are no frame; the connection can't be used any further
+     * @throws MalformedException if the bytes are not a valid frame; the connection can't be used any further
      */
     fun decode(input: Buffer): PeerMessage? {
         if (input.size < Int.SIZE_BYTES) return null
@@ -71,7 +72,7 @@
         }
     }
 
-    /** Arguments are evaluated as they stand, so their order is that of the bytes. */
+    /** Kotlin evaluates arguments in the order in which they are written, so here and below they must be in the order of the bytes. */
     private fun Buffer.readMessage(): PeerMessage =
         when (val kind = readByte().toInt()) {
             SUMMARY_REQUEST -> readSummaryRequest()
--- a/src/main/kotlin/org/honeyjunction/wire/ProtocolNames.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/ProtocolNames.kt
@@ -6,19 +6,19 @@
 import org.honeyjunction.core.model.Priority
 
 /**
- * The names that the users' protocol gives to JSON fields, mapped once to the terms of this program. Only the codecs of this
- * package use the protocol's names; they are part of what leaves the process and may not change.
+ * The field names and values of the users' protocol, as constants named in the terms of this program. Only the codecs of this package
+ * use them. They are part of the wire format and of stored data, and must not change.
  */
 internal object ProtocolNames {
-    // Jobs, as users submit them and as the key-value store keeps them.
+    // Jobs, in submissions and in the key-value store.
 
     /** Job id; in the cloud's list of instances, the instance's name. */
     const val ID = "Ref"
 
-    /** Job class: with the team, the traffic class of admission. */
+    /** Job class; together with the team, it is the traffic class of admission control. */
     const val JOB_CLASS = "Comb"
 
-    /** Team. */
+    /** Team that submitted a job. */
     const val TEAM = "Colony"
 
     /** Job kind: array, gang or service; see [JOB_KINDS]. */
@@ -27,7 +27,7 @@
     /** Priority; see [PRIORITIES]. */
     const val PRIORITY = "Precedence"
 
-    /** Tasks: their number in a job, their list in a heartbeat. */
+    /** Tasks: their number in a job, or their list in a heartbeat. */
     const val TASKS = "Cells"
 
     /** CPUs of a task or of an instance. */
@@ -48,19 +48,19 @@
     /** Machine types: those a job may use, or those the cloud offers. */
     const val MACHINE_TYPES = "HiveKinds"
 
-    /** Machine type. */
+    /** Machine type of an instance. */
     const val MACHINE_TYPE = "HiveKind"
 
-    /** Zone. */
+    /** Zone of an instance, or the zone to which a job is restricted. */
     const val ZONE = "Meadow"
 
     /** Zones that offer a machine type. */
     const val ZONES = "Meadows"
 
-    /** Whether all tasks have to be in one zone. */
+    /** Whether all tasks of a job have to be in the same zone. */
     const val ONE_ZONE = "SamePlace"
 
-    /** Whether tasks are to be spread over zones. */
+    /** Whether the tasks of a job are to be spread over zones. */
     const val SPREAD = "Scatter"
 
     /** Spot (preemptible) instances: whether a job may use them, or whether an instance is one. */
@@ -98,7 +98,7 @@
     /** Fencing token of the leader. */
     const val FENCING_TOKEN = "Crown"
 
-    /** Seconds until the cloud preempts this spot instance; absent without such a notice. */
+    /** Seconds until the cloud preempts this spot instance; absent without a preemption notice. */
     const val PREEMPTION_NOTICE_S = "SwarmWarningS"
 
     /** Task: job id, a slash, and the task's number in its job. */
@@ -133,7 +133,7 @@
     /** Size of an instance's image cache, in GB. */
     const val CACHE_GB = "CacheGb"
 
-    /** Rate at which an instance fetches images, in GB a second. */
+    /** Rate at which an instance fetches images, in GB per second. */
     const val FETCH_GB_PER_S = "FetchGbPerS"
 
     /** On-demand price, by the hour. */
@@ -157,7 +157,7 @@
     /** Age of an instance, in seconds. */
     const val AGE_S = "HeldS"
 
-    /** Whether a list goes on on another page. */
+    /** Whether another page of the list follows. */
     const val MORE = "More"
 
     // The key-value store.
@@ -168,7 +168,7 @@
     /** Value of an entry. */
     const val VALUE = "V"
 
-    /** Version of an entry; 0 for no entry. */
+    /** Version of an entry; 0 for a key that does not exist. */
     const val VERSION = "Stamp"
 
     /** Revision of the store as a whole. */
@@ -186,7 +186,7 @@
     /** Writes of a compare-and-swap transaction. */
     const val WRITES = "Writes"
 
-    /** Key that a write puts a value at. */
+    /** Key to which a write assigns a value. */
     const val PUT = "Put"
 
     /** Key that a write deletes. */
@@ -209,7 +209,7 @@
     /** Key or revision after which to continue. */
     const val AFTER = "Since"
 
-    /** Entries of one page at most. */
+    /** Maximum number of entries of a page. */
     const val LIMIT = "Most"
 
     /** Time that a watch waits for changes, in milliseconds. */
@@ -217,8 +217,10 @@
 
     // Values.
 
+    /** Job kinds by their names in the protocol. */
     val JOB_KINDS = mapOf("batch" to JobKind.ARRAY, "ensemble" to JobKind.GANG, "standing" to JobKind.SERVICE)
 
+    /** Priorities by their names in the protocol. */
     val PRIORITIES =
         mapOf(
             "critical" to Priority.PRODUCTION,
@@ -227,6 +229,7 @@
             "low" to Priority.LOW,
         )
 
+    /** Termination reasons by their names in the protocol. */
     val TERMINATION_REASONS =
         mapOf(
             "done" to TerminationReason.DONE,
@@ -257,11 +260,11 @@
     const val MACHINE_RUNNING = "running"
     const val MACHINE_FAILED = "failed"
 
-    /** Kinds of commands: start a task, stop it, remove what is left of it. */
+    /** Kinds of commands: start an attempt, stop it, or forget it, after which the worker no longer reports it. */
     const val COMMAND_START = "start"
     const val COMMAND_STOP = "kill"
     const val COMMAND_FORGET = "reap"
 
-    /** The protocol's name of [value]; every value has one. */
+    /** The name that the protocol gives to [value]; every value has one. */
     fun <T> Map<String, T>.nameOf(value: T): String = entries.first { it.value == value }.key
 }
--- a/src/main/kotlin/org/honeyjunction/wire/RulesCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/RulesCodec.kt
@@ -7,8 +7,9 @@
 import java.util.BitSet
 
 /**
- * Compiled placement rules in frames between controllers. They are part of each summary whose placement depends on rules; see
- * [SummaryCodec]. Arguments are evaluated as they stand, so in each reader their order is that of the bytes.
+ * Encodes compiled placement rules in frames between controllers. They are part of each summary whose placement depends on rules;
+ * see [SummaryCodec]. Kotlin evaluates arguments in the order in which they are written, so in each reader they must be in the order
+ * of the bytes.
  */
 internal object RulesCodec {
     private const val IN_PLACES = 1
@@ -19,9 +20,10 @@
     private const val AND = 6
     private const val OR = 7
 
-    /** The rule language nests less deeply, so a deeper frame was not written by a controller. */
+    /** Maximum nesting of a test. The rule language allows less, so a frame beyond this limit is corrupt. */
     private const val MAX_DEPTH = 400
 
+    /** Appends [table] to [buffer]. */
     fun write(buffer: Buffer, table: RuleTable) {
         buffer.writeLong(table.version)
         buffer.writeList(table.places) { labels -> writeInts(labels.asList()) }
@@ -29,7 +31,11 @@
         buffer.writeList(table.clauses) { writeClause(it) }
     }
 
-    /** @throws MalformedException when a shape refers to a clause, or a test to a label, that does not exist */
+    /**
+     * Reads rules that [write] encoded.
+     *
+     * @throws MalformedException if a task shape refers to a clause, or a test to a label, that does not exist
+     */
     fun read(buffer: Buffer): RuleTable {
         val version = buffer.readLong()
         val places = buffer.readList { readInts().toIntArray() }
@@ -76,7 +82,7 @@
         }
     }
 
-    /** The number of a label; without places ([labelCount] 0) there is nothing that it could refer to, and any is accepted. */
+    /** Reads the number of a label. Without places [labelCount] is 0; then no test can use the label, and any number is accepted. */
     private fun Buffer.readLabel(labelCount: Int): Int {
         val label = readInt()
         val beyondEnd = labelCount > 0 && label >= labelCount
--- a/src/main/kotlin/org/honeyjunction/wire/SummaryCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/SummaryCodec.kt
@@ -11,14 +11,15 @@
 import org.honeyjunction.core.rules.RuleTable
 
 /**
- * The [Summary] in [PeerMessage.SummaryResponse]: machines, teams, the number of slots, task rows, and a flag that says whether
- * placement rules follow. The fields that only rules need come after the rules, so that a summary without rules has the bytes
- * that it had before there were rules.
+ * Encodes the [Summary] in [PeerMessage.SummaryResponse]: machines, teams, the number of slots, task rows, and a flag that says
+ * whether placement rules follow. The fields that only rules need come after the rules, so that the encoding of a summary without
+ * rules is the same as in versions that had no rules.
  *
- * Arguments are evaluated as they stand, so in each reader their order is that of the bytes. Priorities are sent as their
- * ordinals.
+ * Kotlin evaluates arguments in the order in which they are written, so in each reader they must be in the order of the bytes.
+ * Priorities are encoded as their ordinals.
  */
 internal object SummaryCodec {
+    /** Appends [summary] to [buffer]. */
     fun write(buffer: Buffer, summary: Summary) {
         buffer.writeList(summary.capacities) { writeCapacity(it) }
         buffer.writeList(summary.teams) { writeTeam(it) }
@@ -31,33 +32,37 @@
         summary.rows.forEach { buffer.writeRuleFields(it) }
     }
 
-    /** @throws MalformedException when a field is out of its range or refers to a rule, place or shape that does not exist */
+    /**
+     * Reads a summary that [write] encoded.
+     *
+     * @throws MalformedException if a field is out of range or refers to a rule, place or task shape that does not exist
+     */
     fun read(buffer: Buffer): Summary {
-        val rooms = buffer.readList { readCapacity() }
+        val capacities = buffer.readList { readCapacity() }
         val teams = buffer.readList { readTeam() }
         val slots = buffer.readInt()
         val rows = buffer.readList { readRow() }
         val hasRules = buffer.readBoolean()
-        if (!hasRules) return Summary(rooms, teams, slots, rows)
+        if (!hasRules) return Summary(capacities, teams, slots, rows)
         val rules = RulesCodec.read(buffer)
-        val roomsWithRules = rooms.map { buffer.readRuleFields(it, rules) }
+        val capacitiesWithRules = capacities.map { buffer.readRuleFields(it, rules) }
         val rowsWithRules = rows.map { buffer.readRuleFields(it, rules) }
-        return Summary(roomsWithRules, teams, slots, rowsWithRules, rules)
+        return Summary(capacitiesWithRules, teams, slots, rowsWithRules, rules)
     }
 
-    private fun Buffer.writeCapacity(room: FreeCapacity) {
-        writeInt(room.machine)
-        writeResources(room.free)
-        writeInt(room.type)
-        writeInt(room.zone)
-        writeBoolean(room.spot)
-        writeInts(room.images.asList())
-        writePriority(room.floor)
-        writeDouble(room.fetchingGb)
-        writeDouble(room.fetchGbPerS)
-        writeList(room.upcoming) { writeUpcoming(it) }
-        writeInt(room.reservedFor)
-        writePriority(room.reservedPriority)
+    private fun Buffer.writeCapacity(capacity: FreeCapacity) {
+        writeInt(capacity.machine)
+        writeResources(capacity.free)
+        writeInt(capacity.type)
+        writeInt(capacity.zone)
+        writeBoolean(capacity.spot)
+        writeInts(capacity.images.asList())
+        writePriority(capacity.floor)
+        writeDouble(capacity.fetchingGb)
+        writeDouble(capacity.fetchGbPerS)
+        writeList(capacity.upcoming) { writeUpcoming(it) }
+        writeInt(capacity.reservedFor)
+        writePriority(capacity.reservedPriority)
     }
 
     private fun Buffer.readCapacity() =
@@ -129,25 +134,25 @@
             late = readBoolean(),
         )
 
-    private fun Buffer.writeRuleFields(room: FreeCapacity) {
-        writeInt(room.place)
-        writeInts(room.running.asList())
+    private fun Buffer.writeRuleFields(capacity: FreeCapacity) {
+        writeInt(capacity.place)
+        writeInts(capacity.running.asList())
     }
 
-    private fun Buffer.readRuleFields(room: FreeCapacity, rules: RuleTable) =
+    private fun Buffer.readRuleFields(capacity: FreeCapacity, rules: RuleTable) =
         FreeCapacity(
-            room.machine,
-            room.free,
-            room.type,
-            room.zone,
-            room.spot,
-            room.images,
-            room.floor,
-            room.fetchingGb,
-            room.fetchGbPerS,
-            room.upcoming,
-            room.reservedFor,
-            room.reservedPriority,
+            capacity.machine,
+            capacity.free,
+            capacity.type,
+            capacity.zone,
+            capacity.spot,
+            capacity.images,
+            capacity.floor,
+            capacity.fetchingGb,
+            capacity.fetchGbPerS,
+            capacity.upcoming,
+            capacity.reservedFor,
+            capacity.reservedPriority,
             place = readPlace(rules),
             running = readList { readShape(rules) }.toIntArray(),
         )
@@ -163,21 +168,21 @@
             mates = readList { readPlace(rules) },
         )
 
-    /** The number of a place in [rules], or -1 for none. */
+    /** Reads the number of a place in [rules]; -1 for none. */
     private fun Buffer.readPlace(rules: RuleTable): Int {
         val place = readInt()
         if (place !in -1 until rules.places.size) throw MalformedException("place $place")
         return place
     }
 
-    /** The number of a task shape in [rules], or -1 for none. */
+    /** Reads the number of a task shape in [rules]; -1 for none. */
     private fun Buffer.readShape(rules: RuleTable): Int {
         val shape = readInt()
         if (shape !in -1 until rules.clausesOf.size) throw MalformedException("shape $shape")
         return shape
     }
 
-    /** A flag that says whether there is a list, and the list; no list is written as an empty one. */
+    /** Writes a flag that says whether there is a list, then the list; an absent list is written as an empty one. */
     private fun Buffer.writeOptionalInts(values: List<Int>?) {
         writeBoolean(values != null)
         writeInts(values.orEmpty())
--- a/src/main/kotlin/org/honeyjunction/wire/WorkerCodec.kt
+++ b/src/main/kotlin/org/honeyjunction/wire/WorkerCodec.kt
@@ -8,9 +8,13 @@
 import org.honeyjunction.core.control.messages.TaskState
 import org.honeyjunction.core.control.messages.TerminationReason
 
-/** Heartbeats that workers send, and the commands and redirects that they receive. */
+/** Reads the heartbeats that workers send, and encodes the commands and redirects that workers receive. */
 object WorkerCodec {
-    /** @throws MalformedException when a field is missing or out of its range */
+    /**
+     * Reads a heartbeat.
+     *
+     * @throws MalformedException if a field is missing or out of range
+     */
     fun heartbeat(body: ByteArray): Heartbeat {
         val heartbeat = Json.readObject(body)
         return Heartbeat(
@@ -44,18 +48,18 @@
             else -> throw MalformedException("${ProtocolNames.STATE} is unknown")
         }
 
-    /** A reason that is missing or unknown counts as an error of the task. */
+    /** Reads a termination reason; a missing or unknown one is treated as an error of the task. */
     private fun readReason(task: JsonNode): TerminationReason =
         ProtocolNames.TERMINATION_REASONS[task.textOrNull(ProtocolNames.TERMINATION_REASON)] ?: TerminationReason.ERROR
 
-    /** The response to a heartbeat: the leader's fencing [token] and the commands for the worker. */
+    /** Encodes the response to a heartbeat: the leader's fencing [token] and the commands for the worker. */
     fun heartbeatResponse(token: Long, commands: List<Command>): ByteArray =
         Json.write(Json.newObject().put(ProtocolNames.FENCING_TOKEN, token).putCommands(commands))
 
-    /** The response to a heartbeat by a node that is not the leader; names the [leader] if it is known. */
+    /** Encodes the response of a node that is not the leader to a heartbeat; it names the [leader] if the node knows it. */
     fun redirect(leader: String?): ByteArray = Json.write(Json.newObject().apply { leader?.let { put(ProtocolNames.LEADER, it) } })
 
-    /** Commands pushed to a worker; it accepts them only in the agent incarnation [session]. */
+    /** Encodes commands that the leader pushes to a worker; the worker accepts them only in its incarnation [session]. */
     fun commands(token: Long, session: Long, commands: List<Command>): ByteArray {
         val request = Json.newObject().put(ProtocolNames.FENCING_TOKEN, token).put(ProtocolNames.INCARNATION, session)
         return Json.write(request.putCommands(commands))
--- a/src/test/kotlin/org/honeyjunction/timeline/TimelineTest.kt
+++ b/src/test/kotlin/org/honeyjunction/timeline/TimelineTest.kt
@@ -20,7 +20,7 @@
 import java.util.Random
 
 class TimelineTest {
-    /** The log of [node]; each of [lines] is `milliseconds term text`. */
+    /** The log entries of [node]; each of [lines] has the form `milliseconds term text`. */
     private fun log(node: String, vararg lines: String): List<LogEntry> {
         val written =
             lines.asSequence().map { line ->
@@ -32,37 +32,42 @@
 
     private fun mergedOrder(vararg logs: List<LogEntry>) =
         Timeline.merge(logs.asList()).map {
-            "${it.evidence.name.lowercase()} ${it.entry.timestamp.node}${it.entry.number}"
+            "${it.evidence.name.lowercase()} ${it.entry.timestamp.node}${it.entry.lineNumber}"
         }
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
         delimiter = '|',
         value = [
-            "far apart: by the clocks             | 1000 1 x; 2000 1 y                    | 1500 1 z " +
+            "bounds do not overlap: ordered by clocks | 1000 1 x; 2000 1 y                    | 1500 1 z " +
                 "| same_node a1, clocks b1, clocks a2",
-            "within the bounds: not known         | 1000 1 x                              | 1150 1 z " +
+            "bounds overlap: order is unknown      | 1000 1 x                              | 1150 1 z " +
                 "| same_node a1, unknown b1",
-            "a node's own order, whatever its clock did | 2000 1 x; 1000 1 y              | 1500 1 z " +
+            "clock set back: order of the log is kept | 2000 1 x; 1000 1 y              | 1500 1 z " +
                 "| same_node b1, clocks a1, same_node a2",
-            "a term's lines after its election    | 1000 1 x; 5000 2 leader-elected: term 2 | 4950 2 learned of term 2 " +
+            "a node that knows the term: after the election | 1000 1 x; 5000 2 leader-elected: term 2 | 4950 2 learned of term 2 " +
                 "| same_node a1, same_node a2, terms b1",
-            "one that does not know it yet        | 1000 2 leader-elected: term 2         | 990 1 x " +
+            "a node that does not know the term: order is unknown | 1000 2 leader-elected: term 2         | 990 1 x " +
                 "| same_node b1, unknown a1",
-            "earlier version: a term's lines after its election | 1000 1 x; 5000 2 term-begins: 2 | 4950 2 heard of term 2 " +
+            "earlier version, a node that knows the term: after the election | 1000 1 x; 5000 2 term-begins: 2 | 4950 2 heard of term 2 " +
                 "| same_node a1, same_node a2, terms b1",
-            "earlier version: one that does not know it yet | 1000 2 term-begins: 2       | 990 1 x " +
+            "earlier version, a node that does not know the term: order is unknown | 1000 2 term-begins: 2       | 990 1 x " +
                 "| same_node b1, unknown a1",
         ],
     )
-    fun `logs of two nodes are merged into one order`(case: String, a: String, b: String, expected: String) {
+    fun `logs of two nodes are merged, with the evidence for the place of each entry`(
+        case: String,
+        a: String,
+        b: String,
+        expected: String,
+    ) {
         val merged = mergedOrder(log("a", *a.split("; ").toTypedArray()), log("b", *b.split("; ").toTypedArray()))
-        // What is first of all has no order before it.
+        // The first entry has no predecessor, so its evidence is not compared.
         assertEquals(expected.split(", ").map { it.substringAfter(' ') }, merged.map { it.substringAfter(' ') }, case)
         assertEquals(expected.split(", ").drop(1), merged.drop(1), case)
     }
 
-    /** Names as earlier versions wrote them; spelled out here so that a change of [EventNames.RENAMED] is noticed. */
+    /** Event names of earlier versions; repeated here so that an accidental change of [EventNames.RENAMED] fails the test. */
     @ParameterizedTest
     @CsvSource(
         "node-up: hive-1 listens on 0.0.0.0:8080, node-started",
@@ -84,7 +89,7 @@
         "machine-faulty: vm-1 is at fault, machine-faulty",
         "clock-jump: the time of day moved by 59000 ms, clock-jump",
     )
-    fun `events of an earlier version are known and shown as written`(written: String, event: String) {
+    fun `an event of an earlier version gets its current name and is rendered as written`(written: String, event: String) {
         val entry = log("a", "1000 7 $written").single()
         assertEquals(event, entry.event)
         val command = TimelineCommand().also { it.events = true }
@@ -92,9 +97,9 @@
         assertEquals(listOf("  1970-01-01T00:00:01Z±100 a t7 INFO X - $written"), shown)
     }
 
-    /** Clocks that are off by up to their bound: no line is said to come after another by clocks or terms that it came before. */
+    /** With clock errors up to the bound, no entry is placed by clocks or terms after an entry that was written later. */
     @Property(tries = 200)
-    fun `an order that is shown as certain is true, for logs of this and of an earlier version`(
+    fun `an order marked as certain is the true order, for logs of this and of an earlier version`(
         @ForAll seed: Long,
         @ForAll @IntRange(min = 2, max = 5) nodes: Int,
     ) {
@@ -119,21 +124,21 @@
         }
         val merged = Timeline.merge(lines.mapIndexed { node, written -> log("n$node", *written.toTypedArray()) })
         assertEquals(60, merged.size)
-        val order = merged.map { trueOrder.getValue("${it.entry.timestamp.node}:${it.entry.number}") }
+        val order = merged.map { trueOrder.getValue("${it.entry.timestamp.node}:${it.entry.lineNumber}") }
         merged.zipWithNext().forEachIndexed { i, (_, later) ->
             if (later.evidence != OrderEvidence.UNKNOWN) {
                 assertTrue(order[i] < order[i + 1], "${later.evidence} ${later.entry.text}")
             }
         }
         merged.groupBy { it.entry.file }.values.forEach { ofOneNode ->
-            assertEquals(ofOneNode.map { it.entry.number }.sorted(), ofOneNode.map { it.entry.number })
+            assertEquals(ofOneNode.map { it.entry.lineNumber }.sorted(), ofOneNode.map { it.entry.lineNumber })
         }
         assertEquals(positions(merged), positions(Timeline.merge(lines.mapIndexed { node, written -> earlierLog("n$node", written) })))
     }
 
-    private fun positions(merged: List<OrderedEntry>) = merged.map { Triple(it.evidence, it.entry.timestamp, it.entry.number) }
+    private fun positions(merged: List<OrderedEntry>) = merged.map { Triple(it.evidence, it.entry.timestamp, it.entry.lineNumber) }
 
-    /** The same log as an earlier version would have written it. */
+    /** The same log with the event names of an earlier version. */
     private fun earlierLog(node: String, lines: List<String>) =
         log(node, *lines.map { it.replace("leader-elected: term ", "term-begins: ") }.toTypedArray())
 
@@ -149,10 +154,10 @@
             "2026-12-01T23:07:03Z±250 hive-1 tx x",
         ],
     )
-    fun `a line without a timestamp is told apart`(line: String) = assertNull(HybridTimestamp.parse(line))
+    fun `a line without a valid timestamp has no timestamp`(line: String) = assertNull(HybridTimestamp.parse(line))
 
     @Test
-    fun `lines of a stack trace stay with their entry, and a jump of the clock is logged once`() {
+    fun `a stack trace belongs to its entry, and a jump of the clock is logged once`() {
         val clock =
             object : Clock {
                 var wall = 1_000_000L
@@ -179,6 +184,6 @@
         assertEquals(listOf("java.lang.IllegalStateException: x", "\tat y"), entries[1].continuation)
         assertTrue("59000 ms" in entries[2].text, entries[2].text)
         assertNotNull(HybridTimestamp.parse("${entries[0].timestamp} x"))
-        assertEquals(listOf("hive-1", 7L, 250L), entries[0].timestamp.let { listOf(it.node, it.term, it.boundMs) })
+        assertEquals(listOf("hive-1", 7L, 250L), entries[0].timestamp.let { listOf(it.node, it.term, it.errorBoundMs) })
     }
 }
--- a/src/test/kotlin/org/honeyjunction/wire/CodecTest.kt
+++ b/src/test/kotlin/org/honeyjunction/wire/CodecTest.kt
@@ -24,11 +24,11 @@
 import org.junit.jupiter.params.provider.ValueSource
 
 class CodecTest {
-    private val good = """{"Ref":"j-000412","Comb":"train","Colony":"vision","Cast":"ensemble","Precedence":"high","Cells":16,
+    private val validJob = """{"Ref":"j-000412","Comb":"train","Colony":"vision","Cast":"ensemble","Precedence":"high","Cells":16,
         "Vcpus":8.0,"Gpus":1.0,"MemoryGb":64.0,"Brood":"img-07","PullGb":6.2,"HiveKinds":["g8"],"Meadow":null,
         "SamePlace":true,"Scatter":false,"BorrowedHives":true,"ForageS":240.0,"CapS":30.0,"SealS":4.0,"BloomEndS":900.0,"New":1}"""
 
-    private fun job() = Json.readObject(good.toByteArray())
+    private fun job() = Json.readObject(validJob.toByteArray())
 
     @Test
     fun `a stored job is read as it was submitted`() {
@@ -51,24 +51,24 @@
             "Scatter|\"yes\"", "BorrowedHives|1", "ForageS|-2", "CapS|null", "SealS|[]", "BloomEndS|-1",
         ],
     )
-    fun `a job with an invalid field is malformed`(field: String, value: String) {
-        val o = job()
+    fun `a job with an invalid field is rejected as malformed`(field: String, value: String) {
+        val job = job()
         assertThrows(MalformedException::class.java) {
-            o.set<ObjectNode>(field, Json.read(value.toByteArray()))
-            JobCodec.spec(o)
+            job.set<ObjectNode>(field, Json.read(value.toByteArray()))
+            JobCodec.spec(job)
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = ["", "{", "[]", "7", "null", "{} {}", "{\"a\":NaN}", "\"text\""])
-    fun `anything but a JSON object is malformed`(text: String) {
+    fun `input that is not one JSON object is rejected as malformed`(text: String) {
         assertThrows(MalformedException::class.java) { Json.readObject(text.toByteArray()) }
     }
 
     @Test
     fun `nullable fields may be absent`() {
-        val o = job().apply { remove(listOf("HiveKinds", "Meadow", "BloomEndS")) }
-        val spec = JobCodec.spec(o)
+        val job = job().apply { remove(listOf("HiveKinds", "Meadow", "BloomEndS")) }
+        val spec = JobCodec.spec(job)
         assertNull(spec.types)
         assertNull(spec.zone)
         assertNull(spec.deadlineS)
@@ -86,7 +86,7 @@
         "no_such,UNKNOWN_JOB",
         "unheard-of,ERROR",
     )
-    fun `a termination reason is mapped, an unknown one to an error`(reason: String, expected: TerminationReason) {
+    fun `a termination reason is mapped, and an unknown one becomes an error`(reason: String, expected: TerminationReason) {
         val heartbeat =
             WorkerCodec.heartbeat(
                 """{"Hive":"vm-1","Address":"10.1.0.1:9000","HiveKind":"g8","Meadow":"a","BorrowedHives":true,"Flight":1,
@@ -118,11 +118,11 @@
     }
 
     @Test
-    fun `a truncated frame waits for the rest, and a corrupt one is decoded or malformed, without any other error`() {
+    fun `a truncated frame is not decoded yet, and a corrupt one is decoded or malformed, without any other error`() {
         val whole = frame()
-        for (cut in whole.indices) assertNull(PeerCodec.decode(Buffer().write(whole, 0, cut)))
-        for (at in whole.indices) {
-            val corrupt = whole.copyOf().also { it[at] = (it[at].toInt() xor 0x7f).toByte() }
+        for (length in whole.indices) assertNull(PeerCodec.decode(Buffer().write(whole, 0, length)))
+        for (index in whole.indices) {
+            val corrupt = whole.copyOf().also { it[index] = (it[index].toInt() xor 0x7f).toByte() }
             try {
                 PeerCodec.decode(Buffer().write(corrupt))
             } catch (e: MalformedException) {
@@ -150,22 +150,22 @@
     @CsvSource(
         delimiter = '|',
         value = [
-            "whole                          | {good}                                                                           | " +
+            "complete job                   | {valid}                                                                          | " +
                 "j-000412 train vision HIGH",
-            "in any order, after more       | {'Cells':[1,{'Ref':'no'}],'Precedence':'low','Comb':'c','Colony':'t','Ref':'j-1'} | " +
+            "any order, after other fields  | {'Cells':[1,{'Ref':'no'}],'Precedence':'low','Comb':'c','Colony':'t','Ref':'j-1'} | " +
                 "j-1 c t LOW",
-            "cut off after what is needed   | {'Ref':'j-1','Comb':'c','Colony':'t','Precedence':'low',                         | " +
+            "truncated after the head       | {'Ref':'j-1','Comb':'c','Colony':'t','Precedence':'low',                         | " +
                 "j-1 c t LOW",
-            "cut off before                 | {'Ref':'j-1','Comb':'c','Colony':'t'                                             | null",
-            "no id                          | {'Ref':'x','Comb':'c','Colony':'t','Precedence':'low'}                           | null",
-            "not a text                     | {'Ref':'j-1','Comb':7,'Colony':'t','Precedence':'low'}                           | null",
-            "no such priority               | {'Ref':'j-1','Comb':'c','Colony':'t','Precedence':'now'}                         | null",
-            "no object                      | ['Ref']                                                                          | null",
-            "no JSON                        | Ref                                                                              | null",
+            "truncated within the head      | {'Ref':'j-1','Comb':'c','Colony':'t'                                             | null",
+            "invalid id                     | {'Ref':'x','Comb':'c','Colony':'t','Precedence':'low'}                           | null",
+            "field that is not a text       | {'Ref':'j-1','Comb':7,'Colony':'t','Precedence':'low'}                           | null",
+            "unknown priority               | {'Ref':'j-1','Comb':'c','Colony':'t','Precedence':'now'}                         | null",
+            "not an object                  | ['Ref']                                                                          | null",
+            "not JSON                       | Ref                                                                              | null",
         ],
     )
-    fun `the head of a job`(case: String, body: String, expected: String) {
-        val head = JobCodec.head((if (body == "{good}") good else body.replace('\'', '"')).toByteArray())
+    fun `the head of a job is read if its fields are valid, whatever follows it`(case: String, body: String, expected: String) {
+        val head = JobCodec.head((if (body == "{valid}") validJob else body.replace('\'', '"')).toByteArray())
         assertEquals(expected, head?.run { "$id $jobClass $team $priority" }.toString(), case)
     }
 }
--- a/src/test/kotlin/org/honeyjunction/wire/GoldenBytesTest.kt
+++ b/src/test/kotlin/org/honeyjunction/wire/GoldenBytesTest.kt
@@ -11,43 +11,45 @@
 import java.util.HexFormat
 
 /**
- * Something that leaves the process. [name] is its golden file below `golden/`; [encode] makes its bytes of a value that has
- * something telling in every field; [again] reads such bytes by the present decoder and writes what it read (null: nothing reads it here).
+ * An example of an encoding, with its golden file [name] below `golden/`. [encode] encodes a value with a distinct value in every
+ * field. [reencode] decodes bytes and encodes the result again; it is null if this program has no decoder for the encoding.
  */
-internal class Golden(val name: String, val again: ((ByteArray) -> ByteArray)? = null, val encode: () -> ByteArray)
+internal class GoldenExample(val name: String, val reencode: ((ByteArray) -> ByteArray)? = null, val encode: () -> ByteArray)
 
 /**
- * Pins, byte for byte, what is stored, what controllers say to each other, and what goes to workers, the cloud, the state service and
- * users. Programs of different versions run side by side, and a later one reads what an earlier one stored: a golden file may be
- * added, but one that is there may not change unless that is meant and both sides can do with it.
+ * Compares the encodings of stored data, of messages between controllers, and of messages to and from workers, the cloud, the
+ * key-value store and users with golden files, byte for byte. Controllers of different versions run side by side during a rolling
+ * upgrade, and a later version reads data that an earlier one stored. Golden files may be added, but an existing one may change only
+ * with an intended change of the format that both versions can read.
  *
- * Files that end in `.hex` have the bytes in hexadecimal, 32 a line; all others have the bytes themselves, without a newline at the end.
+ * Files that end in `.hex` contain the bytes in hexadecimal, 32 per line; all other files contain the bytes themselves, without a
+ * newline at the end.
  *
- * A missing file is a failure. To make files, run this with `-Dgolden.write=DIR`: what the code writes now goes into `DIR`
- * (say, `src/test/resources/golden`). The comparison is still made with the files as they were when the tests were built, so that a
- * run that writes does not pass for having written.
+ * A missing file is a failure. To create files, run this test with `-Dgolden.write=DIR`: the current encodings are written to `DIR`
+ * (for instance `src/test/resources/golden`). The comparison still uses the files on the class path, as they were when the tests were
+ * built, so writing the files does not make the run pass.
  */
 class GoldenBytesTest {
     @ParameterizedTest(name = "{0}")
-    @MethodSource("names")
-    fun `what is written is as it was`(name: String) {
-        val written = example(name).encode()
-        System.getProperty("golden.write")?.let { File(it, name).apply { parentFile.mkdirs() }.writeText(shown(name, written)) }
-        assertEquals(kept(name), shown(name, written))
+    @MethodSource("allNames")
+    fun `an example is encoded to the bytes of its golden file`(name: String) {
+        val encoded = example(name).encode()
+        System.getProperty("golden.write")?.let { File(it, name).apply { parentFile.mkdirs() }.writeText(rendered(name, encoded)) }
+        assertEquals(goldenText(name), rendered(name, encoded))
     }
 
     @ParameterizedTest(name = "{0}")
-    @MethodSource("read")
-    fun `what was written is read, and written again as it was`(name: String) {
-        val again = checkNotNull(example(name).again)(bytes(name))
-        assertEquals(kept(name), shown(name, again))
+    @MethodSource("decodedNames")
+    fun `a golden file is decoded and encoded again to the same bytes`(name: String) {
+        val reencoded = checkNotNull(example(name).reencode)(bytes(name))
+        assertEquals(goldenText(name), rendered(name, reencoded))
     }
 
     @Test
-    fun `every golden file has its example, and no two have one name`() {
+    fun `every golden file has exactly one example`() {
         val root = File(checkNotNull(javaClass.classLoader.getResource("golden")).toURI())
         val files = root.walk().filter { it.isFile }.map { it.relativeTo(root).invariantSeparatorsPath }.sorted().toList()
-        assertEquals(names().sorted(), files)
+        assertEquals(allNames().sorted(), files)
     }
 
     @Test
@@ -56,7 +58,7 @@
         assertEquals(kinds, GoldenFrames.messages.values.map { it.javaClass }.toSet())
     }
 
-    /** By number, not by name: names may change, keys may not. */
+    /** Compares counts, not names: a constant may be renamed, but its key must not change. */
     @Test
     fun `every key has an example`() {
         val constants = Keys::class.java.declaredFields.count { it.type == String::class.java }
@@ -66,30 +68,30 @@
 
     private fun example(name: String) = examples.single { it.name == name }
 
-    private fun kept(name: String): String {
+    private fun goldenText(name: String): String {
         val file = javaClass.classLoader.getResource("golden/$name")
         assertNotNull(file, "golden/$name is missing")
         return String(file!!.readBytes())
     }
 
     private fun bytes(name: String): ByteArray {
-        val text = kept(name)
+        val text = goldenText(name)
         return if (isHex(name)) HexFormat.of().parseHex(text.replace("\n", "")) else text.toByteArray()
     }
 
-    private fun shown(name: String, bytes: ByteArray): String =
-        if (isHex(name)) HexFormat.of().formatHex(bytes).chunked(HEX_LINE).joinToString("\n", postfix = "\n") else String(bytes)
+    private fun rendered(name: String, bytes: ByteArray): String =
+        if (isHex(name)) HexFormat.of().formatHex(bytes).chunked(HEX_DIGITS_PER_LINE).joinToString("\n", postfix = "\n") else String(bytes)
 
     private fun isHex(name: String) = name.endsWith(".hex")
 
     companion object {
-        private const val HEX_LINE = 64
-        private val examples = GoldenStored.all + GoldenFrames.all + GoldenOutside.all
+        private const val HEX_DIGITS_PER_LINE = 64
+        private val examples = GoldenStored.all + GoldenFrames.all + GoldenExternal.all
 
         @JvmStatic
-        fun names(): List<String> = examples.map { it.name }
+        fun allNames(): List<String> = examples.map { it.name }
 
         @JvmStatic
-        fun read(): List<String> = examples.filter { it.again != null }.map { it.name }
+        fun decodedNames(): List<String> = examples.filter { it.reencode != null }.map { it.name }
     }
 }
--- a/src/test/kotlin/org/honeyjunction/wire/GoldenTalks.kt
+++ b/src/test/kotlin/org/honeyjunction/wire/GoldenExchanges.kt
@@ -20,67 +20,73 @@
 import org.honeyjunction.io.StateLimits
 import org.honeyjunction.rules.RulesDocument
 
-/** Whole talks over HTTP, for [GoldenBytesTest]: what is asked of the state service and the cloud, in its order, and by which paths. */
-internal object GoldenTalks {
+/**
+ * Examples of whole HTTP exchanges, for [GoldenBytesTest]: the requests to the key-value store and the cloud in their order, with
+ * method, path and body.
+ */
+internal object GoldenExchanges {
     private val limits = StateLimits(1_000.0, 1_000.0, 16, 1, 4_096)
 
-    /** Answers by [answers] (a method and a path to a body; 404 where there is none) and writes down what it was asked. */
-    private fun talk(answers: Map<String, ByteArray>, ask: suspend (EventLoop, String) -> Unit): ByteArray =
+    /**
+     * Runs [client] against a server that serves [responses] (bodies, keyed by method and path; 404 for all others), and returns the
+     * requests that the server received, one per line.
+     */
+    private fun recordRequests(responses: Map<String, ByteArray>, client: suspend (EventLoop, String) -> Unit): ByteArray =
         EventLoop().use { loop ->
-            val asked = ArrayList<String>()
+            val requests = ArrayList<String>()
             val server =
-                HttpServer(loop, 8, mayClose = { false }) { r ->
-                    asked += "${r.method} ${r.target} ${String(r.body)}".trimEnd()
-                    answers["${r.method} ${r.target}"]?.let { Response(200, it) } ?: Response(404)
+                HttpServer(loop, 8, mayClose = { false }) { request ->
+                    requests += "${request.method} ${request.target} ${String(request.body)}".trimEnd()
+                    responses["${request.method} ${request.target}"]?.let { Response(200, it) } ?: Response(404)
                 }
             val address = server.listen(ANY_PORT).address
-            runBlocking { loop.scope.async { ask(loop, address) }.await() }
-            asked.joinToString("\n").toByteArray()
+            runBlocking { loop.scope.async { client(loop, address) }.await() }
+            requests.joinToString("\n").toByteArray()
         }
 
-    private fun stateTalk(answers: Map<String, ByteArray>, ask: suspend (KeyValueClient) -> Unit) =
-        talk(answers) { loop, address -> ask(KeyValueClient(loop, address, limits, Clock)) }
+    private fun recordStoreRequests(responses: Map<String, ByteArray>, client: suspend (KeyValueClient) -> Unit) =
+        recordRequests(responses) { loop, address -> client(KeyValueClient(loop, address, limits, Clock)) }
 
-    /** Wins term 42, by the record of the term and of who holds it. */
+    /** A node is elected leader of term 42: it writes the record of the term and the record of its holder. */
     private fun election(): ByteArray {
-        val answers =
+        val responses =
             mapOf(
                 "GET /store/term" to CounterpartCodec.entry("term", Json.newObject().put("term", 41), 900, null),
                 "POST /leases" to CounterpartCodec.lease(7_001),
                 "POST /commit" to CounterpartCodec.revision(901),
             )
-        return stateTalk(answers) { check(Election("nöde-1", it, Clock, 3_500).observeOrAcquire(true)?.number == 42L) }
+        return recordStoreRequests(responses) { check(Election("nöde-1", it, Clock, 3_500).observeOrAcquire(true)?.number == 42L) }
     }
 
-    /** What the golden record of the term says to a node that looks. */
-    private fun electionAgain(talk: ByteArray): ByteArray {
-        val puts =
+    /** Checks that another node learns the leader and its term from the golden record of the election. */
+    private fun checkElection(requests: ByteArray): ByteArray {
+        val writes =
             CounterpartCodec
                 .commit(
-                    String(talk).lines().last().substringAfter("/commit ").toByteArray(),
+                    String(requests).lines().last().substringAfter("/commit ").toByteArray(),
                 ).writes
                 .associateBy { it.first }
-        val lead = puts.getValue("lead")
-        val answers = mapOf("GET /store/lead" to CounterpartCodec.entry("lead", lead.second!!, 901, lead.third))
-        stateTalk(answers) {
-            val looker = Election("node-2", it, Clock, 3_500)
-            check(looker.observeOrAcquire(true) == null && looker.leader == "nöde-1" && looker.term == 42L)
+        val leaderWrite = writes.getValue("lead")
+        val responses = mapOf("GET /store/lead" to CounterpartCodec.entry("lead", leaderWrite.second!!, 901, leaderWrite.third))
+        recordStoreRequests(responses) {
+            val observer = Election("node-2", it, Clock, 3_500)
+            check(observer.observeOrAcquire(true) == null && observer.leader == "nöde-1" && observer.term == 42L)
         }
-        return talk
+        return requests
     }
 
     private fun stateClient(): ByteArray {
-        val first = CounterpartCodec.entryPage(listOf(Triple("j/j-1", IntNode(1) as JsonNode, 9L)), true, 10)
-        val answers =
+        val firstPage = CounterpartCodec.entryPage(listOf(Triple("j/j-1", IntNode(1) as JsonNode, 9L)), true, 10)
+        val responses =
             mapOf(
                 "GET /store/term" to CounterpartCodec.entry("term", IntNode(41), 900, null),
-                "GET /store?Starts=j/&Most=500" to first,
+                "GET /store?Starts=j/&Most=500" to firstPage,
                 "GET /store?Starts=j/&Since=j/j-1&Most=500" to CounterpartCodec.entryPage(emptyList(), false, 11),
                 "GET /changes?Starts=j/&Since=10&BlockMs=1234" to CounterpartCodec.changes(emptyList(), 12),
                 "POST /leases/7001/extend" to ByteArray(0),
                 "POST /commit" to CounterpartCodec.revision(13),
             )
-        return stateTalk(answers) {
+        return recordStoreRequests(responses) {
             it.get("term")
             it.existing(listOf("j/j-1", "f/j-1"))
             it.scan("j/")
@@ -92,7 +98,7 @@
     }
 
     private fun cloudClient(): ByteArray {
-        val answers =
+        val responses =
             mapOf(
                 "GET /machine_types" to CounterpartCodec.machineTypes(emptyList(), emptyList()),
                 "POST /rentals" to CloudCodec.names(listOf("vm-1")),
@@ -100,7 +106,7 @@
                 "GET /rentals?Most=500" to CounterpartCodec.instancePage(emptyList(), { true }, false),
                 "GET /rentals?Since=vm-1&Most=500" to CounterpartCodec.instancePage(emptyList(), { true }, false),
             )
-        return talk(answers) { loop, address ->
+        return recordRequests(responses) { loop, address ->
             val cloud = CloudClient(loop, address, 1_000.0, Clock)
             cloud.machineTypes()
             cloud.scaleOut(Effect.ScaleOut("rent-7", Offer(1, 2, true), "g8", "zöne-a", 3)) { true }
@@ -110,38 +116,38 @@
         }
     }
 
-    private fun rule(n: Int) = "rule \"rüle $n\" for class \"c$n\" { must machine.gpus >= $n }"
+    private fun rule(number: Int) = "rule \"rüle $number\" for class \"c$number\" { must machine.gpus >= $number }"
 
     private val document = RulesDocument((1..40).joinToString("\n", transform = ::rule), null)
 
-    /** The parts of a document, and the head that names them; values of 1 KiB, so that there are several parts. */
+    /** Stores a rules document as several parts, because values are limited to 1 KiB, and a head that names the parts. */
     private fun rules(): ByteArray {
         val noParts = CounterpartCodec.entryPage(emptyList(), false, 902)
-        val answers = mapOf("POST /commit" to CounterpartCodec.revision(901), "GET /store?Starts=r/&Most=500" to noParts)
-        return talk(answers) { loop, address -> node(loop, address).rules!!.apply(document, null) }
+        val responses = mapOf("POST /commit" to CounterpartCodec.revision(901), "GET /store?Starts=r/&Most=500" to noParts)
+        return recordRequests(responses) { loop, address -> node(loop, address).rules!!.apply(document, null) }
     }
 
-    /** What the golden head and parts say to a node that reads them. */
-    private fun rulesAgain(talk: ByteArray): ByteArray {
+    /** Checks that a node reads the document back from the golden head and parts. */
+    private fun checkRules(requests: ByteArray): ByteArray {
         val commits =
-            String(talk)
+            String(requests)
                 .lines()
                 .filter { it.startsWith("POST /commit ") }
                 .map { CounterpartCodec.commit(it.substringAfter("/commit ").toByteArray()) }
-        val answers =
-            commits.flatMap { it.writes }.associate { (key, v, _) ->
+        val responses =
+            commits.flatMap { it.writes }.associate { (key, json, _) ->
                 "GET /store/$key" to
-                    CounterpartCodec.entry(key, v!!, 901, null)
+                    CounterpartCodec.entry(key, json!!, 901, null)
             }
-        talk(answers) { loop, address ->
-            val keeper = node(loop, address).rules!!
-            keeper.refresh()
-            check(keeper.current.version == 1L && keeper.current.document.text == document.text)
+        recordRequests(responses) { loop, address ->
+            val store = node(loop, address).rules!!
+            store.refresh()
+            check(store.current.version == 1L && store.current.document.text == document.text)
         }
-        return talk
+        return requests
     }
 
-    /** A node that is never started: only its way to the state service is used. */
+    /** A node that is never started; only its client of the key-value store is used. */
     private fun node(loop: EventLoop, state: String): Node {
         val params = Json.readObject(javaClass.classLoader.getResource("local/settings.json")!!.readBytes())
         (params.get("state") as ObjectNode).put("value_kb", 1.0).put("txn_ops", 8)
@@ -150,11 +156,11 @@
         return Node(LocalSettings(params, null, 1).forNode(0, peers, users, state, "127.0.0.1:5"), Tuning(rules = true), loop)
     }
 
-    val all: List<Golden> =
+    val all: List<GoldenExample> =
         listOf(
-            Golden("stored/election.txt", ::electionAgain, ::election),
-            Golden("stored/rules.txt", ::rulesAgain, ::rules),
-            Golden("state/client.txt", encode = ::stateClient),
-            Golden("cloud/client.txt", encode = ::cloudClient),
+            GoldenExample("stored/election.txt", ::checkElection, ::election),
+            GoldenExample("stored/rules.txt", ::checkRules, ::rules),
+            GoldenExample("state/client.txt", encode = ::stateClient),
+            GoldenExample("cloud/client.txt", encode = ::cloudClient),
         )
 }
--- a/src/test/kotlin/org/honeyjunction/wire/GoldenFrames.kt
+++ b/src/test/kotlin/org/honeyjunction/wire/GoldenFrames.kt
@@ -20,7 +20,7 @@
 import org.honeyjunction.core.rules.RuleTable.Expr
 import java.util.BitSet
 
-/** Frames between controllers, for [GoldenBytesTest]. */
+/** Examples of frames between controllers, for [GoldenBytesTest]. */
 internal object GoldenFrames {
     private fun bits(vararg set: Int) = BitSet().apply { set.forEach { set(it) } }
 
@@ -28,8 +28,8 @@
     private val speech = TrafficClass("speech", "*")
     private val plan = QuotaPlan(PlanEpoch(41, 7), 2_345, linkedMapOf(vision to 3.25, speech to 0.125), 1.75, linkedSetOf("vision", "öl"))
 
-    /** Every priority once, as a floor or as what a room is held for. */
-    private fun rooms(place: Int, running: IntArray) =
+    /** Every priority occurs once, as a floor or as the priority of a reservation. */
+    private fun capacities(place: Int, running: IntArray) =
         listOf(
             FreeCapacity(
                 3,
@@ -113,7 +113,7 @@
 
     private val teams = listOf(TeamShare(2.5, 7), TeamShare(0.25, 1_900))
 
-    /** Every kind of test once, a must and preferences. */
+    /** Every kind of test occurs; one clause is a hard constraint (infinite weight), the others are preferences. */
     private val rules =
         RuleTable(
             23,
@@ -143,14 +143,15 @@
                     PlanEpoch(40, 8),
                     6.25,
                 ),
-            "told" to PeerMessage.SummaryResponse(41, true, plan, 77.5, Summary(rooms(-1, intArrayOf()), teams, 64, rows(-1, emptyList()))),
+            "told" to
+                PeerMessage.SummaryResponse(41, true, plan, 77.5, Summary(capacities(-1, intArrayOf()), teams, 64, rows(-1, emptyList()))),
             "told-with-rules" to
                 PeerMessage.SummaryResponse(
                     42,
                     false,
                     QuotaPlan.NONE,
                     0.5,
-                    Summary(rooms(2, intArrayOf(1, 1, 0)), teams, 65, rows(2, listOf(1, -1, 0)), rules),
+                    Summary(capacities(2, intArrayOf(1, 1, 0)), teams, 65, rows(2, listOf(1, -1, 0)), rules),
                 ),
             "not-leader" to PeerMessage.NotLeader(0x0102030405060708),
             "propose" to PeerMessage.PlacementProposals(43, listOf(Proposal(1, 2, 3), Proposal(400, 500, 600))),
@@ -166,17 +167,20 @@
                 ),
         )
 
-    /** The present decoder's reading of a frame, written again; nothing of the frame may be left over. */
-    private fun again(frame: ByteArray): ByteArray {
+    /** Decodes a frame and encodes the message again; the decoder must consume the whole frame. */
+    private fun reencode(frame: ByteArray): ByteArray {
         val input = Buffer().write(frame)
         val message = checkNotNull(PeerCodec.decode(input))
         check(input.exhausted())
         return PeerCodec.encode(message)
     }
 
-    val all: List<Golden> =
-        messages.map { (name, message) -> Golden("peer/$name.hex", ::again) { PeerCodec.encode(message) } } +
-            Golden("peer/rules.hex", { Buffer().apply { RulesCodec.write(this, RulesCodec.read(Buffer().write(it))) }.readByteArray() }) {
+    val all: List<GoldenExample> =
+        messages.map { (name, message) -> GoldenExample("peer/$name.hex", ::reencode) { PeerCodec.encode(message) } } +
+            GoldenExample(
+                "peer/rules.hex",
+                { Buffer().apply { RulesCodec.write(this, RulesCodec.read(Buffer().write(it))) }.readByteArray() },
+            ) {
                 Buffer().apply { RulesCodec.write(this, rules) }.readByteArray()
             }
 }
--- a/src/test/kotlin/org/honeyjunction/wire/GoldenStored.kt
+++ b/src/test/kotlin/org/honeyjunction/wire/GoldenStored.kt
@@ -25,9 +25,9 @@
 import org.honeyjunction.nomad.registry.VersionState
 import java.util.BitSet
 
-/** Keys and values of the state service, for [GoldenBytesTest]. */
+/** Examples of keys and values in the key-value store, for [GoldenBytesTest]. */
 internal object GoldenStored {
-    /** What a key is for, and the key. */
+    /** Keys by their purpose. */
     val keys: Map<String, String> =
         linkedMapOf(
             "who holds the term" to Keys.LEAD,
@@ -52,7 +52,7 @@
             "a page of hints" to Keys.hints(5),
         )
 
-    /** Every optional field is there. */
+    /** A job with every optional field. */
     val gang =
         JobSpec(
             "j-000412",
@@ -75,7 +75,7 @@
             900.75,
         )
 
-    /** No optional field is there. */
+    /** A job without optional fields. */
     val array =
         JobSpec(
             "j-000413",
@@ -98,11 +98,14 @@
             null,
         )
     val service = array.copy(id = "j-000414", kind = JobKind.SERVICE, priority = Priority.PRODUCTION, types = emptyList(), zone = "b")
-    val plain = gang.copy(id = "j-000415", kind = JobKind.ARRAY, priority = Priority.NORMAL, deadlineS = null)
+    val normalPriority = gang.copy(id = "j-000415", kind = JobKind.ARRAY, priority = Priority.NORMAL, deadlineS = null)
 
     private fun numbers(vararg numbers: Int) = BitSet().apply { numbers.forEach { set(it) } }
 
-    /** Starts of several tasks of one machine and attempt, results as runs, and (every second number) as a bitmap. */
+    /**
+     * Several starts have the same machine and attempt. The finished tasks of one job are encoded as ranges, those of the other (about
+     * every second number) as a bitmap.
+     */
     private val page =
         JournalPageRecord(
             17,
@@ -119,7 +122,7 @@
                 "j-000414" to numbers(*IntArray(300) { 2_048 + it * 2 + it % 3 }),
             ),
         )
-    private val hints =
+    private val machineCheckpoints =
         listOf(
             MachineCheckpoint(
                 "vm-é1",
@@ -133,7 +136,7 @@
             ),
             MachineCheckpoint("vm-2", null, "c4", "b", false, 13, emptyMap(), null),
         )
-    private val marks =
+    private val leaderCheckpoint =
         LeaderCheckpoint(
             listOf(
                 JobFailureCheckpoint("j-000412", true, 5, 2, 1_700_000_000_001),
@@ -148,7 +151,7 @@
             ),
         )
 
-    /** Of each state of a version one. */
+    /** A head with a version in each state. */
     private val head =
         Head(
             "späce",
@@ -173,7 +176,7 @@
             1_700_000_100_000,
             true,
         )
-    private val plainHead =
+    private val minimalHead =
         head.copy(
             service = false,
             versions = head.versions.take(1),
@@ -192,8 +195,8 @@
 
     private fun cluster() = Cluster(NameTable().apply { zones.forEach { index(it) } }, emptyList(), 3_000, 500, 2_000)
 
-    private fun value(name: String, encode: () -> JsonNode, again: (JsonNode) -> JsonNode) =
-        Golden("stored/$name.json", { Json.write(again(Json.read(it))) }) { Json.write(encode()) }
+    private fun value(name: String, encode: () -> JsonNode, reencode: (JsonNode) -> JsonNode) =
+        GoldenExample("stored/$name.json", { Json.write(reencode(Json.read(it))) }) { Json.write(encode()) }
 
     private fun record(name: String, spec: JobSpec, owner: String, created: Long, stage: JobStage) =
         value(name, { JobCodec.record(spec, owner, created, stage) }) {
@@ -201,35 +204,41 @@
             JobCodec.record(read.spec, read.owner, read.createdAtWall, read.stage)
         }
 
-    private fun pageAgain(v: JsonNode): JsonNode {
-        val page = JournalPageCodec.read(17, 900, v)
-        return JournalPageCodec.write(page, checkNotNull(JournalPageCodec.writeNumber(v)))
+    private fun reencodePage(json: JsonNode): JsonNode {
+        val page = JournalPageCodec.read(17, 900, json)
+        return JournalPageCodec.write(page, checkNotNull(JournalPageCodec.writeNumber(json)))
     }
 
-    /** Earlier versions wrote a number, or an array of numbers, and no results. */
+    /** A page of an earlier version, which encoded task numbers as a number or as an array of numbers. */
     private const val EARLIER_PAGE = """{"write":8,"starts":["j-1",3,5,"vm-é1","j-2",[4,6,7],9,"vm-2"],"done":{"j-3":[1,2,3],"j-4":5}}"""
 
-    /** As the leader stores what the cloud told it. */
-    private fun storedTypes() = checkNotNull(Write(Keys.TYPES, Json.read(CounterpartCodec.machineTypes(types, zones))).json)
+    /** The machine types as the leader stores the cloud's response. */
+    private fun storedMachineTypes() = checkNotNull(Write(Keys.TYPES, Json.read(CounterpartCodec.machineTypes(types, zones))).json)
 
-    private fun typesAgain(body: ByteArray): ByteArray {
+    private fun reencodeMachineTypes(body: ByteArray): ByteArray {
         val cluster = cluster()
         return CounterpartCodec.machineTypes(CloudCodec.machineTypes(body, cluster).values.toList(), zones)
     }
 
-    val all: List<Golden> =
+    val all: List<GoldenExample> =
         listOf(
-            Golden("stored/keys.txt") { keys.entries.joinToString("\n") { (what, key) -> "$what: $key" }.toByteArray() },
-            value("page", { JournalPageCodec.write(page, 987_654_321) }, ::pageAgain),
-            value("page-of-earlier-versions-read", { pageAgain(Json.read(EARLIER_PAGE.toByteArray())) }, ::pageAgain),
-            value("hints", { CheckpointCodec.writeMachines(hints) }) { CheckpointCodec.writeMachines(CheckpointCodec.readMachines(it)) },
-            value("marks", { CheckpointCodec.writeLeader(marks) }) { CheckpointCodec.writeLeader(CheckpointCodec.readLeader(it)) },
+            GoldenExample("stored/keys.txt") { keys.entries.joinToString("\n") { (purpose, key) -> "$purpose: $key" }.toByteArray() },
+            value("page", { JournalPageCodec.write(page, 987_654_321) }, ::reencodePage),
+            value("page-of-earlier-versions-read", { reencodePage(Json.read(EARLIER_PAGE.toByteArray())) }, ::reencodePage),
+            value(
+                "hints",
+                { CheckpointCodec.writeMachines(machineCheckpoints) },
+            ) { CheckpointCodec.writeMachines(CheckpointCodec.readMachines(it)) },
+            value(
+                "marks",
+                { CheckpointCodec.writeLeader(leaderCheckpoint) },
+            ) { CheckpointCodec.writeLeader(CheckpointCodec.readLeader(it)) },
             record("job-active", gang, "nöde-1", 1_700_000_000_321, JobStage.ACTIVE),
             record("job-active-without-options", array, "node-2", 1_700_000_000_322, JobStage.ACTIVE),
             record("final-done", service, "node-3", 1_700_000_000_323, JobStage.DONE),
-            record("final-cancelled", plain, "nöde-1", 1_700_000_000_324, JobStage.CANCELLED),
+            record("final-cancelled", normalPriority, "nöde-1", 1_700_000_000_324, JobStage.CANCELLED),
             value("registered-head", { HeadCodec.write(head) }) { HeadCodec.write(HeadCodec.read(it)) },
-            value("registered-head-without-options", { HeadCodec.write(plainHead) }) { HeadCodec.write(HeadCodec.read(it)) },
-            Golden("stored/machine-types.json", ::typesAgain, ::storedTypes),
+            value("registered-head-without-options", { HeadCodec.write(minimalHead) }) { HeadCodec.write(HeadCodec.read(it)) },
+            GoldenExample("stored/machine-types.json", ::reencodeMachineTypes, ::storedMachineTypes),
         )
 }
--- a/src/test/kotlin/org/honeyjunction/wire/HttpParserTest.kt
+++ b/src/test/kotlin/org/honeyjunction/wire/HttpParserTest.kt
@@ -13,25 +13,25 @@
         when (outcome) {
             is HttpParser.Complete -> "${outcome.message.startLine.take(2).joinToString(" ")} ${String(outcome.message.body)}".trim()
             is HttpParser.Failed -> "failed ${outcome.status}"
-            is HttpParser.Incomplete -> "more"
+            is HttpParser.Incomplete -> "incomplete"
         }
 
     @ParameterizedTest
     @MethodSource("requests")
-    fun `a request is parsed whole and byte by byte`(text: String, expected: String) {
+    fun `a request has the same outcome when it is fed whole and byte by byte`(text: String, expected: String) {
         val whole = HttpParser(HttpParser.Kind.REQUEST, HttpLimits(maxHeadBytes = 200, maxBodyBytes = 20))
         assertEquals(expected, describe(whole.feed(ByteBuffer.wrap(text.toByteArray()))))
-        val bytewise = HttpParser(HttpParser.Kind.REQUEST, HttpLimits(maxHeadBytes = 200, maxBodyBytes = 20))
-        val outcomes = text.toByteArray().asSequence().map { bytewise.feed(ByteBuffer.wrap(byteArrayOf(it))) }
+        val byteByByte = HttpParser(HttpParser.Kind.REQUEST, HttpLimits(maxHeadBytes = 200, maxBodyBytes = 20))
+        val outcomes = text.toByteArray().asSequence().map { byteByByte.feed(ByteBuffer.wrap(byteArrayOf(it))) }
         assertEquals(expected, describe(outcomes.firstOrNull { it !is HttpParser.Incomplete } ?: HttpParser.Incomplete), "byte by byte")
     }
 
     @ParameterizedTest
     @MethodSource("responses")
-    fun `a response is parsed, also up to the end of the connection`(text: String, ends: Boolean, expected: String) {
+    fun `a response is parsed, also if its body ends with the connection`(text: String, connectionEnds: Boolean, expected: String) {
         val parser = HttpParser(HttpParser.Kind.RESPONSE, HttpLimits(maxHeadBytes = 200, maxBodyBytes = 20))
         val fed = parser.feed(ByteBuffer.wrap(text.toByteArray()))
-        assertEquals(expected, describe(if (ends && fed is HttpParser.Incomplete) parser.endOfStream() else fed))
+        assertEquals(expected, describe(if (connectionEnds && fed is HttpParser.Incomplete) parser.endOfStream() else fed))
     }
 
     @Test
@@ -40,7 +40,7 @@
         val input = ByteBuffer.wrap("POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nhiGET /b HTTP/1.1\r\n\r\n".toByteArray())
         assertEquals("POST /a hi", describe(parser.feed(input)))
         assertEquals("GET /b", describe(parser.feed(input)))
-        assertEquals("more", describe(parser.feed(input)))
+        assertEquals("incomplete", describe(parser.feed(input)))
         assertEquals(false, parser.isMidMessage)
     }
 
@@ -51,7 +51,7 @@
                 arguments("GET /up HTTP/1.1\r\nHost: a\r\n\r\n", "GET /up"),
                 arguments("GET /up HTTP/1.1\nHost: a\n\n", "GET /up"),
                 arguments("POST /x HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", "POST /x abc"),
-                arguments("POST /x HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", "more"),
+                arguments("POST /x HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", "incomplete"),
                 arguments("POST /x HTTP/1.1\r\nContent-Length: 21\r\n\r\n", "failed 413"),
                 arguments("POST /x HTTP/1.1\r\nContent-Length: -1\r\n\r\n", "failed 400"),
                 arguments("POST /x HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\n", "failed 400"),
