--- a/src/main/kotlin/org/honeyjunction/app/CloudClient.kt
+++ b/src/main/kotlin/org/honeyjunction/app/CloudClient.kt
@@ -51,7 +51,7 @@
     /** Lists one page of the rented machines, ordered by name. The page starts after the machine [after], or with the first one. */
     suspend fun listMachines(after: String?): CloudCodec.Page {
         val since = after?.let { "Since=$it&" }.orEmpty()
-        return parse { CloudCodec.page(requireOk(send("GET", "/rentals?${since}Most=500")).body) }
+        return parse { CloudCodec.instancePage(requireOk(send("GET", "/rentals?${since}Most=500")).body) }
     }
 
     private suspend fun send(
--- a/src/main/kotlin/org/honeyjunction/app/Election.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Election.kt
@@ -86,8 +86,8 @@
             store.commitNow(
                 listOf(Condition(Keys.LEADER_RECORD, 0), Condition(Keys.TERM, termRecord.version)),
                 listOf(
-                    Write(Keys.LEADER_RECORD, Json.obj().put(Keys.LEADER_FIELD, nodeName).put("term", nextTerm), leaseId),
-                    Write(Keys.TERM, Json.obj().put("term", nextTerm)),
+                    Write(Keys.LEADER_RECORD, Json.newObject().put(Keys.LEADER_FIELD, nodeName).put("term", nextTerm), leaseId),
+                    Write(Keys.TERM, Json.newObject().put("term", nextTerm)),
                 ),
             )
         if (version == null) {
--- a/src/main/kotlin/org/honeyjunction/app/JobCancellation.kt
+++ b/src/main/kotlin/org/honeyjunction/app/JobCancellation.kt
@@ -44,7 +44,7 @@
         return terminalResponse(id, status)
     }
 
-    private fun terminalResponse(id: String, status: JobStatus) = Response(200, JobCodec.answer(id, status, counts = false))
+    private fun terminalResponse(id: String, status: JobStatus) = Response(200, JobCodec.statusResponse(id, status, counts = false))
 
     private companion object {
         const val CANCEL_TIMEOUT_MS = 3_000L
--- a/src/main/kotlin/org/honeyjunction/app/JobSubmission.kt
+++ b/src/main/kotlin/org/honeyjunction/app/JobSubmission.kt
@@ -103,5 +103,6 @@
         }
     }
 
-    private fun statusResponse(statusCode: Int, id: String, job: JobStatus) = Response(statusCode, JobCodec.answer(id, job, counts = false))
+    private fun statusResponse(statusCode: Int, id: String, job: JobStatus) =
+        Response(statusCode, JobCodec.statusResponse(id, job, counts = false))
 }
--- a/src/main/kotlin/org/honeyjunction/app/OperatorSettings.kt
+++ b/src/main/kotlin/org/honeyjunction/app/OperatorSettings.kt
@@ -8,7 +8,7 @@
 import org.honeyjunction.core.placement.CostSettings
 import org.honeyjunction.nomad.NomadOptions
 import org.honeyjunction.wire.MalformedException
-import org.honeyjunction.wire.given
+import org.honeyjunction.wire.fieldOrNull
 import java.nio.file.Path
 
 /**
@@ -36,7 +36,7 @@
         val errors = schema.validate(settings)
         if (errors.isNotEmpty()) throw MalformedException(errors.joinToString("; ") { it.message })
         val defaults = Tuning()
-        val rules = settings.given("rules")
+        val rules = settings.fieldOrNull("rules")
         return defaults.copy(
             placementIntervalMs = settings.integer("round_ms", defaults.placementIntervalMs),
             summaryWaitMs = settings.integer("summary_ms", defaults.summaryWaitMs),
@@ -49,10 +49,10 @@
             ownerTimeoutMs = settings.integer("lapse_ms", defaults.ownerTimeoutMs),
             leaseMs = settings.integer("lease_ms", defaults.leaseMs),
             maxTasks = settings.integer("max_tasks", defaults.maxTasks.toLong()).toInt(),
-            rules = rules?.given("on")?.booleanValue() ?: defaults.rules,
+            rules = rules?.fieldOrNull("on")?.booleanValue() ?: defaults.rules,
             explainMs = rules?.integer("explain_ms", defaults.explainMs) ?: defaults.explainMs,
             explainTasks = rules?.integer("explain_tasks", defaults.explainTasks.toLong())?.toInt() ?: defaults.explainTasks,
-            cost = cost(settings.given("cost"), rules, defaults.cost),
+            cost = cost(settings.fieldOrNull("cost"), rules, defaults.cost),
         )
     }
 
@@ -70,19 +70,19 @@
 
     /** The settings of the Nomad-compatible API; null if the file has none. */
     private fun nomad(settings: ObjectNode): NomadOptions? {
-        val options = settings.given("nomad") ?: return null
+        val options = settings.fieldOrNull("nomad") ?: return null
         val defaults = NomadOptions()
         return NomadOptions(
-            options.given("on")?.booleanValue() ?: defaults.on,
-            options.given("listen")?.textValue() ?: defaults.listen,
+            options.fieldOrNull("on")?.booleanValue() ?: defaults.on,
+            options.fieldOrNull("listen")?.textValue() ?: defaults.listen,
             options.number("mhz_per_core", defaults.mhzPerCore),
-            options.given("team")?.textValue(),
-            options.given("production")?.mapNotNull { it.textValue() } ?: defaults.production,
+            options.fieldOrNull("team")?.textValue(),
+            options.fieldOrNull("production")?.mapNotNull { it.textValue() } ?: defaults.production,
             options.integer("max_waiting", defaults.maxWaiting.toLong()).toInt(),
         )
     }
 
-    private fun JsonNode.integer(name: String, default: Long) = given(name)?.longValue() ?: default
+    private fun JsonNode.integer(name: String, default: Long) = fieldOrNull(name)?.longValue() ?: default
 
-    private fun JsonNode?.number(name: String, default: Double) = this?.given(name)?.doubleValue() ?: default
+    private fun JsonNode?.number(name: String, default: Double) = this?.fieldOrNull(name)?.doubleValue() ?: default
 }
--- a/src/main/kotlin/org/honeyjunction/app/RulesApi.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RulesApi.kt
@@ -9,7 +9,7 @@
 import org.honeyjunction.wire.Request
 import org.honeyjunction.wire.Response
 import org.honeyjunction.wire.count
-import org.honeyjunction.wire.given
+import org.honeyjunction.wire.fieldOrNull
 import java.io.IOException
 
 /** The HTTP API for the operators' rules and for explanations of placements. Enabled in the operators' settings. */
@@ -35,7 +35,7 @@
     private suspend fun show(): Response {
         if (!store.isUpToDate) return serviceUnavailable("the rules are not known here yet")
         val rules = store.current
-        val body = rules.document.write(Json.obj().put("version", rules.version))
+        val body = rules.document.write(Json.newObject().put("version", rules.version))
         leaderVersion()?.let { body.put("in_force", it) }
         return Response(200, Json.write(body))
     }
@@ -43,7 +43,7 @@
     /** The version of the rules that this node applies as the leader; -1 if this node does not certainly lead. */
     private fun versionInForce(): Response {
         val version = node.driverWithLease?.leader?.rulesVersion ?: NOT_LEADING
-        return Response(200, Json.write(Json.obj().put("version", version)))
+        return Response(200, Json.write(Json.newObject().put("version", version)))
     }
 
     /** The version of the rules that the leader applies; null if the leader does not answer. */
@@ -51,25 +51,25 @@
         node.driverWithLease?.let { return it.leader.rulesVersion }
         val response = node.jobApi.forward(Request("GET", VERSION_PATH, Response.NO_BODY)) ?: return null
         if (response.status != 200) return null
-        return Json.readObject(response.body).given("version")?.longValue()?.takeIf { it >= 0 }
+        return Json.readObject(response.body).fieldOrNull("version")?.longValue()?.takeIf { it >= 0 }
     }
 
     private suspend fun apply(request: Request): Response {
         val (document, expected) =
             try {
                 val body = Json.readObject(request.body)
-                RulesDocument.parse(body) to if (body.given("expect") == null) null else body.count("expect")
+                RulesDocument.parse(body) to if (body.fieldOrNull("expect") == null) null else body.count("expect")
             } catch (e: MalformedException) {
                 return Response(400, Json.error(e.message!!))
             }
         return when (val result = store.apply(document, expected)) {
             is RulesStore.ApplyResult.Applied ->
-                Response(200, Json.write(Json.obj().put("version", result.version).putTexts("warnings", result.warnings)))
+                Response(200, Json.write(Json.newObject().put("version", result.version).putTexts("warnings", result.warnings)))
             is RulesStore.ApplyResult.Invalid ->
-                Response(422, Json.write(Json.obj().put("error", result.errors.first()).putTexts("errors", result.errors)))
+                Response(422, Json.write(Json.newObject().put("error", result.errors.first()).putTexts("errors", result.errors)))
             is RulesStore.ApplyResult.Conflict -> {
                 val error = "version ${result.version} is in force"
-                Response(409, Json.write(Json.obj().put("error", error).put("version", result.version)))
+                Response(409, Json.write(Json.newObject().put("error", error).put("version", result.version)))
             }
             RulesStore.ApplyResult.OutcomeUnknown ->
                 serviceUnavailable("not known to be in force: ask for the rules, then apply again")
--- a/src/main/kotlin/org/honeyjunction/app/Settings.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Settings.kt
@@ -13,7 +13,7 @@
 import org.honeyjunction.wire.amount
 import org.honeyjunction.wire.amountOrNull
 import org.honeyjunction.wire.count
-import org.honeyjunction.wire.given
+import org.honeyjunction.wire.fieldOrNull
 import org.honeyjunction.wire.list
 import org.honeyjunction.wire.listOrEmpty
 import org.honeyjunction.wire.text
@@ -73,7 +73,7 @@
             val workers = section(params, "workers", "params.")
             val state = section(params, "state", "params.")
             val cloud = section(params, "cloud", "params.")
-            val limits = params.given("machine_limits")
+            val limits = params.fieldOrNull("machine_limits")
             val sockets = withPath("params.machine_limits") { limits?.amountOrNull("max_sockets") }?.toInt() ?: DEFAULT_MAX_SOCKETS
             val peers = readEach(file.listOrEmpty("seeds"), "seeds") { Peer(it.text("host_name"), address(it, "address")) }
             val cluster = cluster(params, workers, state, sockets)
@@ -155,7 +155,7 @@
             )
 
         private fun section(parent: JsonNode, name: String, path: String = "") =
-            parent.given(name)?.takeIf { it.isObject } ?: invalid("$path$name")
+            parent.fieldOrNull(name)?.takeIf { it.isObject } ?: invalid("$path$name")
 
         private fun positive(part: JsonNode, name: String) = part.amount(name).takeIf { it > 0 } ?: invalid(name)
 
