--- a/src/main/kotlin/org/honeyjunction/app/CloudClient.kt
+++ b/src/main/kotlin/org/honeyjunction/app/CloudClient.kt
@@ -1,12 +1,12 @@
 package org.honeyjunction.app
 
 import org.honeyjunction.core.control.messages.Effect
-import org.honeyjunction.io.Budget
 import org.honeyjunction.io.Clock
-import org.honeyjunction.io.Connections
+import org.honeyjunction.io.ConnectionPool
 import org.honeyjunction.io.EventLoop
 import org.honeyjunction.io.HttpClient
-import org.honeyjunction.io.NoAnswerException
+import org.honeyjunction.io.NoResponseException
+import org.honeyjunction.io.RateLimiter
 import org.honeyjunction.wire.CloudCodec
 import org.honeyjunction.wire.MalformedException
 import org.honeyjunction.wire.Response
@@ -24,8 +24,8 @@
         data object NoCapacity : ScaleOutResult
     }
 
-    private val http = HttpClient(Connections(loop, most = 3), address)
-    private val budget = Budget(requestsPerS * BUDGET_SHARE, requestsPerS * 2 * BUDGET_SHARE, clock)
+    private val http = HttpClient(ConnectionPool(loop, maxIdle = 3), address)
+    private val budget = RateLimiter(requestsPerS * BUDGET_SHARE, requestsPerS * 2 * BUDGET_SHARE, clock)
 
     suspend fun machineTypes(): ByteArray = requireOk(send("GET", "/machine_types")).body
 
@@ -36,7 +36,7 @@
             response.status == 200 -> ScaleOutResult.Started(parse { CloudCodec.readNames(response.body) })
             response.status == 503 && "no capacity" in String(response.body) -> ScaleOutResult.NoCapacity
             response.status == 400 -> ScaleOutResult.NoCapacity
-            else -> throw NoAnswerException("cloud: ${response.status}")
+            else -> throw NoResponseException("cloud: ${response.status}")
         }
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/Node.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Node.kt
@@ -65,7 +65,7 @@
         HttpServer(
             loop,
             (settings.maxSockets * SOCKET_SHARE).toInt(),
-            mayClose = { it.path == HeartbeatEndpoint.PATH },
+            isWorkerRequest = { it.path == HeartbeatEndpoint.PATH },
             HeartbeatEndpoint.MAX_BYTES,
             router::handle,
         )
@@ -146,7 +146,7 @@
 
     private fun createNomadServer(registry: NomadRegistry): HttpServer {
         val api = NomadApi(this, registry, nativeStatus)
-        return HttpServer(loop, (settings.maxSockets * NOMAD_SOCKET_SHARE).toInt(), mayClose = { false }, handle = api::handle)
+        return HttpServer(loop, (settings.maxSockets * NOMAD_SOCKET_SHARE).toInt(), isWorkerRequest = { false }, handle = api::handle)
     }
 
     private companion object {
--- a/src/main/kotlin/org/honeyjunction/app/OperatorClient.kt
+++ b/src/main/kotlin/org/honeyjunction/app/OperatorClient.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.withContext
-import org.honeyjunction.io.Connections
+import org.honeyjunction.io.ConnectionPool
 import org.honeyjunction.io.EventLoop
 import org.honeyjunction.io.HttpClient
 import org.honeyjunction.io.socketAddress
@@ -24,7 +24,7 @@
                         try {
                             val response =
                                 withContext(loop.scope.coroutineContext) {
-                                    HttpClient(Connections(loop, most = 1), address).send(method, path, body, TIMEOUT_MS)
+                                    HttpClient(ConnectionPool(loop, maxIdle = 1), address).send(method, path, body, TIMEOUT_MS)
                                 }
                             if (response.status != 503 && response.status != 429) return@runBlocking response
                             lastError = "$address says to come back: ${why(response)}"
--- a/src/main/kotlin/org/honeyjunction/app/WarmUp.kt
+++ b/src/main/kotlin/org/honeyjunction/app/WarmUp.kt
@@ -20,7 +20,7 @@
 import org.honeyjunction.core.model.Priority
 import org.honeyjunction.core.model.Resources
 import org.honeyjunction.core.placement.PlacementRound
-import org.honeyjunction.io.Connections
+import org.honeyjunction.io.ConnectionPool
 import org.honeyjunction.io.EventLoop
 import org.honeyjunction.io.HttpClient
 import org.honeyjunction.wire.JournalPageCodec
@@ -47,7 +47,7 @@
             leadTerm(settings)
             runBlocking {
                 withTimeoutOrNull(3_000) {
-                    loop.scope.launch { sendRequests(HttpClient(Connections(loop, most = 1), settings.listen)) }.join()
+                    loop.scope.launch { sendRequests(HttpClient(ConnectionPool(loop, maxIdle = 1), settings.listen)) }.join()
                 }
             }
             0
--- a/src/main/kotlin/org/honeyjunction/app/leader/CommandSender.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/CommandSender.kt
@@ -1,7 +1,7 @@
 package org.honeyjunction.app.leader
 
 import org.honeyjunction.core.control.messages.Effect
-import org.honeyjunction.io.Connections
+import org.honeyjunction.io.ConnectionPool
 import org.honeyjunction.io.EventLoop
 import org.honeyjunction.io.HttpClient
 import org.honeyjunction.wire.MalformedException
@@ -12,7 +12,7 @@
 /** Sends a leader's commands to the workers, and reports their responses to it. */
 internal class CommandSender(private val context: TermContext, loop: EventLoop) {
     private val log = LoggerFactory.getLogger(CommandSender::class.java)
-    private val connections = Connections(loop, context.leader.state.cluster.maxCommandsInFlight, perAddress = 1)
+    private val connections = ConnectionPool(loop, context.leader.state.cluster.maxCommandsInFlight, maxIdlePerAddress = 1)
 
     suspend fun sendCommands(effect: Effect.Send) {
         val leader = context.leader
--- a/src/main/kotlin/org/honeyjunction/app/local/Controllers.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/Controllers.kt
@@ -72,7 +72,7 @@
 
     /** Its only thread does nothing else for so long. */
     fun hang(number: Int, forMs: Long) {
-        running[number]?.loop?.occupy(forMs)
+        running[number]?.loop?.blockFor(forMs)
     }
 
     fun close() = settings.indices.forEach(::kill)
--- a/src/main/kotlin/org/honeyjunction/app/local/LocalCluster.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/LocalCluster.kt
@@ -64,7 +64,7 @@
                 clock,
                 this.nomad.map { nomad?.copy(listen = it) },
             )
-        users = FakeUsers(loopback.loop.named(LoopbackCluster.USERS), nodes, loopback.watch, seed, loopback::now)
+        users = FakeUsers(loopback.loop.withHostName(LoopbackCluster.USERS), nodes, loopback.watch, seed, loopback::now)
     }
 
     fun start(faults: List<Fault>) {
--- a/src/main/kotlin/org/honeyjunction/fake/CloudServer.kt
+++ b/src/main/kotlin/org/honeyjunction/fake/CloudServer.kt
@@ -20,7 +20,7 @@
     private val released: (List<String>) -> Unit,
 ) {
     /** The address that it listens on. */
-    fun listen(): String = HttpServer(loop, MAX_CONNECTIONS, mayClose = { false }) { answer(it) }.listen(ANY_PORT).address
+    fun listen(): String = HttpServer(loop, MAX_CONNECTIONS, isWorkerRequest = { false }) { answer(it) }.listen(ANY_PORT).address
 
     private fun answer(r: Request): Response {
         if (!cloud.request(now())) return Response(429)
--- a/src/main/kotlin/org/honeyjunction/fake/FakeUsers.kt
+++ b/src/main/kotlin/org/honeyjunction/fake/FakeUsers.kt
@@ -4,7 +4,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.joinAll
 import kotlinx.coroutines.launch
-import org.honeyjunction.io.Connections
+import org.honeyjunction.io.ConnectionPool
 import org.honeyjunction.io.EventLoop
 import org.honeyjunction.io.HttpClient
 import org.honeyjunction.wire.JobCodec
@@ -43,7 +43,7 @@
 
     /** Until then there are faults; 75 s later every job has to be answered for. */
     var troubledUntil = 0L
-    private val clients = nodes.map { HttpClient(Connections(loop, most = 32), it) }
+    private val clients = nodes.map { HttpClient(ConnectionPool(loop, maxIdle = 32), it) }
     private var turn = 0
     val jobs = ArrayList<Tracked>()
 
--- a/src/main/kotlin/org/honeyjunction/fake/LoopbackCluster.kt
+++ b/src/main/kotlin/org/honeyjunction/fake/LoopbackCluster.kt
@@ -5,7 +5,7 @@
 import kotlinx.coroutines.launch
 import org.honeyjunction.core.model.MachineType
 import org.honeyjunction.core.model.Team
-import org.honeyjunction.io.Connections
+import org.honeyjunction.io.ConnectionPool
 import org.honeyjunction.io.EventLoop
 import org.honeyjunction.io.HttpClient
 import org.honeyjunction.wire.JobCodec
@@ -49,15 +49,15 @@
     /** Copies of heartbeats that are recorded until the next terms. */
     private var keepUntil = 0L
     private val kept = ArrayList<ByteArray>()
-    private val copies = Connections(loop.named(COPIES), most = 32)
+    private val copies = ConnectionPool(loop.withHostName(COPIES), maxIdle = 32)
     var keptDelivered = 0
         private set
     private val awaited = ArrayList<Pair<Fault.Moment, CompletableDeferred<Unit>>>()
     private var lastTerm = 0L
     private var ended = 0
-    private val stateServers = nodes.map { StateServer(loop.named(STATE), store, Random(random.nextLong()), ::now) }
+    private val stateServers = nodes.map { StateServer(loop.withHostName(STATE), store, Random(random.nextLong()), ::now) }
     private val cloudServer =
-        CloudServer(loop.named(CLOUD), cloud, settings.types, settings.zones, ::now) { names -> names.forEach(::remove) }
+        CloudServer(loop.withHostName(CLOUD), cloud, settings.types, settings.zones, ::now) { names -> names.forEach(::remove) }
 
     val workers: List<FakeWorker> get() = hosts.values.map { it.worker }
 
@@ -140,7 +140,7 @@
         }
 
     private fun boot(machine: FakeCloud.Machine) {
-        val host = WorkerHost(loop.named(machine.name), nodes, settings.reportMs, Random(random.nextLong()), ::now)
+        val host = WorkerHost(loop.withHostName(machine.name), nodes, settings.reportMs, Random(random.nextLong()), ::now)
         machine.address = host.address
         host.worker =
             FakeWorker(
--- a/src/main/kotlin/org/honeyjunction/fake/StateServer.kt
+++ b/src/main/kotlin/org/honeyjunction/fake/StateServer.kt
@@ -38,7 +38,7 @@
     private val shut get() = store.down || now() < refusedUntil
 
     /** The address that it listens on. */
-    fun listen(): String = HttpServer(loop, MAX_CONNECTIONS, mayClose = { false }, handle = ::answer).listen(ANY_PORT).address
+    fun listen(): String = HttpServer(loop, MAX_CONNECTIONS, isWorkerRequest = { false }, handle = ::answer).listen(ANY_PORT).address
 
     private suspend fun answer(r: Request): Response {
         val query =
--- a/src/main/kotlin/org/honeyjunction/fake/WorkerHost.kt
+++ b/src/main/kotlin/org/honeyjunction/fake/WorkerHost.kt
@@ -6,7 +6,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import org.honeyjunction.io.ANY_PORT
-import org.honeyjunction.io.Connections
+import org.honeyjunction.io.ConnectionPool
 import org.honeyjunction.io.EventLoop
 import org.honeyjunction.io.HttpClient
 import org.honeyjunction.io.HttpServer
@@ -34,9 +34,9 @@
     /** Is given each report as it is sent. */
     var onReport: (ByteArray) -> Unit = {}
     private val scope = CoroutineScope(loop.scope.coroutineContext + Job(loop.scope.coroutineContext[Job]))
-    private val connections = Connections(loop, most = 2)
+    private val connections = ConnectionPool(loop, maxIdle = 2)
     private var node = random.nextInt(nodes.size)
-    private val server = HttpServer(loop, MAX_CONNECTIONS, mayClose = { false }, handle = ::answer).listen(ANY_PORT)
+    private val server = HttpServer(loop, MAX_CONNECTIONS, isWorkerRequest = { false }, handle = ::answer).listen(ANY_PORT)
     val address: String get() = server.address
 
     fun start() {
--- a/src/main/kotlin/org/honeyjunction/io/Channels.kt
+++ b/src/main/kotlin/org/honeyjunction/io/Channels.kt
@@ -16,7 +16,7 @@
 import kotlin.coroutines.resumeWithException
 
 /** Resumes [continuation] with the outcome of a channel operation. */
-private class Resume<T>(private val continuation: CancellableContinuation<T>) : CompletionHandler<T, Unit> {
+private class ResumingCompletionHandler<T>(private val continuation: CancellableContinuation<T>) : CompletionHandler<T, Unit> {
     override fun completed(result: T, attachment: Unit) = continuation.resume(result)
 
     override fun failed(error: Throwable, attachment: Unit) = continuation.resumeWithException(error)
@@ -25,12 +25,12 @@
 /** Runs one operation of a channel; its cancellation closes the channel, whose state is then unknown. */
 private suspend fun <T> Closeable.await(start: (CompletionHandler<T, Unit>) -> Unit): T =
     suspendCancellableCoroutine { continuation ->
-        continuation.invokeOnCancellation { quietly { close() } }
-        start(Resume(continuation))
+        continuation.invokeOnCancellation { ignoringIOException { close() } }
+        start(ResumingCompletionHandler(continuation))
     }
 
 /** Runs [block], which closes or tunes a socket, and ignores its [IOException]. */
-inline fun quietly(block: () -> Unit) {
+inline fun ignoringIOException(block: () -> Unit) {
     try {
         block()
     } catch (_: IOException) {
@@ -39,7 +39,7 @@
 }
 
 /** A connection on an NIO.2 channel. */
-class ChannelLink(private val channel: AsynchronousSocketChannel) : Link {
+class ChannelConnection(private val channel: AsynchronousSocketChannel) : Connection {
     override suspend fun read(buffer: ByteBuffer): Int = channel.await<Int> { channel.read(buffer, Unit, it) }
 
     override suspend fun write(bytes: ByteArray) {
@@ -47,20 +47,20 @@
         while (buffer.hasRemaining()) channel.await<Int> { channel.write(buffer, Unit, it) }
     }
 
-    override fun close() = quietly { channel.close() }
+    override fun close() = ignoringIOException { channel.close() }
 
     companion object {
         /** @throws IOException when no connection can be made; the channel is then closed */
-        suspend fun connect(group: AsynchronousChannelGroup, address: String): Link {
+        suspend fun connect(group: AsynchronousChannelGroup, address: String): Connection {
             val channel = AsynchronousSocketChannel.open(group)
             var connected = false
             try {
                 channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
                 channel.await<Void?> { channel.connect(socketAddress(address), Unit, it) }
                 connected = true
-                return ChannelLink(channel)
+                return ChannelConnection(channel)
             } finally {
-                if (!connected) quietly { channel.close() }
+                if (!connected) ignoringIOException { channel.close() }
             }
         }
     }
@@ -78,13 +78,13 @@
     override val address: String = (server.localAddress as InetSocketAddress).let { "${it.address.hostAddress}:${it.port}" }
     override val isOpen: Boolean get() = server.isOpen
 
-    override suspend fun accept(): Link {
+    override suspend fun accept(): Connection {
         val channel = server.await<AsynchronousSocketChannel> { server.accept(Unit, it) }
-        quietly { channel.setOption(StandardSocketOptions.TCP_NODELAY, true) }
-        return ChannelLink(channel)
+        ignoringIOException { channel.setOption(StandardSocketOptions.TCP_NODELAY, true) }
+        return ChannelConnection(channel)
     }
 
-    override fun close() = quietly { server.close() }
+    override fun close() = ignoringIOException { server.close() }
 
     private companion object {
         /** Connections that the system holds until they are accepted. */
--- a/src/main/kotlin/org/honeyjunction/io/EventLoop.kt
+++ b/src/main/kotlin/org/honeyjunction/io/EventLoop.kt
@@ -23,7 +23,7 @@
 }
 
 /** One end of a stream connection; failures are [java.io.IOException]s. */
-interface Link {
+interface Connection {
     /** Reads at least one byte into [buffer]: their number, or -1 at the end of the stream. */
     suspend fun read(buffer: ByteBuffer): Int
 
@@ -39,7 +39,7 @@
     val address: String
     val isOpen: Boolean
 
-    suspend fun accept(): Link
+    suspend fun accept(): Connection
 
     fun close()
 }
@@ -53,16 +53,16 @@
     val clock: Clock
 
     /** @throws java.io.IOException when no connection can be made */
-    suspend fun connect(address: String): Link
+    suspend fun connect(address: String): Connection
 
     /** Listens at [address]; [ANY_PORT] lets the system choose. */
     fun listen(address: String): Listener
 
     /** Blocks the thread for [ms] milliseconds, as if the process hung; used by fault injection. */
-    fun occupy(ms: Long)
+    fun blockFor(ms: Long)
 
     /** This loop under the host name [name], where the network has host names. */
-    fun named(name: String): EventLoop = this
+    fun withHostName(name: String): EventLoop = this
 
     companion object {
         operator fun invoke(): EventLoop = ThreadEventLoop()
@@ -77,11 +77,11 @@
     override val scope = CoroutineScope(SupervisorJob() + dispatcher)
     override val clock: Clock get() = Clock
 
-    override suspend fun connect(address: String): Link = ChannelLink.connect(group, address)
+    override suspend fun connect(address: String): Connection = ChannelConnection.connect(group, address)
 
     override fun listen(address: String): Listener = ChannelListener(group, address)
 
-    override fun occupy(ms: Long) {
+    override fun blockFor(ms: Long) {
         executor.execute { Thread.sleep(ms) }
     }
 
--- a/src/main/kotlin/org/honeyjunction/io/HttpClient.kt
+++ b/src/main/kotlin/org/honeyjunction/io/HttpClient.kt
@@ -12,59 +12,59 @@
 import java.nio.ByteBuffer
 
 /** No response arrived: the request may have been executed, or may still be executed later. */
-class NoAnswerException(message: String, cause: Throwable? = null) : IOException(message, cause)
+class NoResponseException(message: String, cause: Throwable? = null) : IOException(message, cause)
 
 /** HTTP client of one address; [connections] may be shared with other addresses. A response's body has [bodyLimit] bytes at most. */
-class HttpClient(private val connections: Connections, private val address: String, bodyLimit: Int = 4 * 1024 * 1024) {
+class HttpClient(private val connections: ConnectionPool, private val address: String, bodyLimit: Int = 4 * 1024 * 1024) {
     private val limits = HttpLimits(body = bodyLimit)
 
     /**
      * Sends one request and waits up to [timeoutMs] for the response.
      *
-     * [still] is asked once there is a connection, just before anything is sent: the caller may no longer be entitled to the
+     * [maySend] is asked once there is a connection, just before anything is sent: the caller may no longer be entitled to the
      * request by then, for instance because it lost the leader lease.
      *
-     * @throws NoAnswerException in every case without a whole response
+     * @throws NoResponseException in every case without a whole response
      */
     suspend fun send(
         method: String,
         path: String,
         body: ByteArray = Response.NO_BODY,
         timeoutMs: Long,
-        still: () -> Boolean = { true },
+        maySend: () -> Boolean = { true },
     ): Response =
         try {
-            withTimeout(timeoutMs) { exchange(Request(method, path, body), still) }
+            withTimeout(timeoutMs) { exchange(Request(method, path, body), maySend) }
         } catch (e: TimeoutCancellationException) {
-            throw NoAnswerException("no answer from $address within $timeoutMs ms", e)
-        } catch (e: NoAnswerException) {
+            throw NoResponseException("no answer from $address within $timeoutMs ms", e)
+        } catch (e: NoResponseException) {
             throw e
         } catch (e: IOException) {
-            throw NoAnswerException("no answer from $address: ${e.message}", e)
+            throw NoResponseException("no answer from $address: ${e.message}", e)
         }
 
-    private suspend fun exchange(request: Request, still: () -> Boolean): Response {
-        val channel = connections.take(address)
+    private suspend fun exchange(request: Request, maySend: () -> Boolean): Response {
+        val connection = connections.acquire(address)
         var reusable = false
         try {
-            if (!still()) throw NoAnswerException("not sent to $address: it is over")
-            channel.write(HttpWriter.request(address, request))
-            val message = read(channel)
+            if (!maySend()) throw NoResponseException("not sent to $address: it is over")
+            connection.write(HttpWriter.request(address, request))
+            val message = read(connection)
             val status = message.start[1].toIntOrNull() ?: throw IOException("bad status")
             reusable = !message.closes
-            if (reusable) connections.keep(address, channel)
+            if (reusable) connections.release(address, connection)
             return Response(status, message.body, message.headers["retry-after"]?.toIntOrNull())
         } finally {
-            if (!reusable) channel.close()
+            if (!reusable) connection.close()
         }
     }
 
-    private suspend fun read(channel: Link): HttpMessage {
+    private suspend fun read(connection: Connection): HttpMessage {
         val parser = HttpParser(HttpParser.Kind.RESPONSE, limits)
         val buffer = ByteBuffer.allocate(BUFFER_BYTES)
         while (true) {
             buffer.clear()
-            val count = channel.read(buffer)
+            val count = connection.read(buffer)
             buffer.flip()
             val outcome = if (count < 0) parser.end() else parser.feed(buffer)
             when (outcome) {
--- a/src/main/kotlin/org/honeyjunction/io/HttpServer.kt
+++ b/src/main/kotlin/org/honeyjunction/io/HttpServer.kt
@@ -20,19 +20,19 @@
  * HTTP/1.1 server without pipelining; a coroutine serves each connection.
  *
  * @param maxConnections open connections at most; see [SocketBudget]
- * @param mayClose whether a request is a worker's, so that its connection may be closed to leave sockets to users
- * @param mostBytes size of a request's body at most
+ * @param isWorkerRequest whether a request is a worker's, so that its connection may be closed to leave sockets to users
+ * @param maxBodyBytes size of a request's body at most
  * @param handle answers a request; an [IllegalStateException] becomes status 500
  */
 class HttpServer(
     private val loop: EventLoop,
     private val maxConnections: Int,
-    private val mayClose: (Request) -> Boolean,
-    private val mostBytes: Int = HttpLimits().body,
+    private val isWorkerRequest: (Request) -> Boolean,
+    private val maxBodyBytes: Int = HttpLimits().body,
     private val handle: suspend (Request) -> Response,
 ) {
     private val log = LoggerFactory.getLogger(HttpServer::class.java)
-    private val budget = SocketBudget<Link>(maxConnections)
+    private val budget = SocketBudget<Connection>(maxConnections)
 
     /** For the log: connections now, and the most at once. */
     val statistics get() = "${budget.open} connections, at most ${budget.peak} of $maxConnections"
@@ -46,7 +46,7 @@
 
     private suspend fun acceptAll(server: Listener, scope: CoroutineScope) {
         while (server.isOpen) {
-            val channel =
+            val connection =
                 try {
                     server.accept()
                 } catch (e: IOException) {
@@ -55,15 +55,15 @@
                     delay(ACCEPT_RETRY_MS)
                     continue
                 }
-            if (admit(channel)) scope.launch { serveUntilClosed(channel) }
+            if (admit(connection)) scope.launch { serveUntilClosed(connection) }
         }
     }
 
-    /** Makes room for [channel], or closes it and returns false. */
-    private fun admit(channel: Link): Boolean {
-        when (val admission = budget.admit(channel)) {
+    /** Makes room for [connection], or closes it and returns false. */
+    private fun admit(connection: Connection): Boolean {
+        when (val admission = budget.admit(connection)) {
             is SocketBudget.Admission.Rejected -> {
-                channel.close()
+                connection.close()
                 return false
             }
             is SocketBudget.Admission.Evicting -> admission.evicted.close()
@@ -72,31 +72,31 @@
         return true
     }
 
-    private suspend fun serveUntilClosed(channel: Link) {
+    private suspend fun serveUntilClosed(connection: Connection) {
         try {
-            serve(channel)
+            serve(connection)
         } catch (_: IOException) {
             // The client closed the connection, or was too slow.
         } catch (_: TimeoutCancellationException) {
             // The client does not read the response.
         } finally {
-            budget.closed(channel)
-            channel.close()
+            budget.closed(connection)
+            connection.close()
         }
     }
 
-    private suspend fun serve(channel: Link) {
-        val parser = HttpParser(HttpParser.Kind.REQUEST, HttpLimits(body = mostBytes))
+    private suspend fun serve(connection: Connection) {
+        val parser = HttpParser(HttpParser.Kind.REQUEST, HttpLimits(body = maxBodyBytes))
         val buffer = ByteBuffer.allocate(BUFFER_BYTES)
         buffer.flip()
         while (true) {
-            when (val outcome = readRequest(channel, parser, buffer) ?: return) {
+            when (val outcome = readRequest(connection, parser, buffer) ?: return) {
                 is HttpParser.Done -> {
-                    val keepOpen = respond(channel, outcome.message)
+                    val keepOpen = respond(connection, outcome.message)
                     if (!keepOpen) return
                 }
                 is HttpParser.Failed -> {
-                    write(channel, Response(outcome.status, close = true))
+                    write(connection, Response(outcome.status, close = true))
                     return
                 }
                 is HttpParser.More -> Unit
@@ -105,7 +105,7 @@
     }
 
     /** Reads until a request is complete or invalid; null when the client closed the connection. */
-    private suspend fun readRequest(channel: Link, parser: HttpParser, buffer: ByteBuffer): HttpParser.Outcome? {
+    private suspend fun readRequest(connection: Connection, parser: HttpParser, buffer: ByteBuffer): HttpParser.Outcome? {
         var outcome = parser.feed(buffer)
         val deadline = loop.clock.steady() + MESSAGE_TIMEOUT_MS
         while (outcome is HttpParser.More) {
@@ -113,7 +113,7 @@
             val timeoutMs = if (parser.midway) deadline - loop.clock.steady() else IDLE_TIMEOUT_MS
             val count =
                 try {
-                    withTimeout(maxOf(timeoutMs, 1)) { channel.read(buffer) }
+                    withTimeout(maxOf(timeoutMs, 1)) { connection.read(buffer) }
                 } catch (e: TimeoutCancellationException) {
                     throw IOException("too slow", e)
                 }
@@ -125,17 +125,17 @@
     }
 
     /** Answers one request; returns whether the connection stays open. */
-    private suspend fun respond(channel: Link, message: HttpMessage): Boolean {
+    private suspend fun respond(connection: Connection, message: HttpMessage): Boolean {
         val request = Request(message.start[0], message.start[1], message.body)
-        budget.requestStarted(channel)
+        budget.requestStarted(connection)
         val response = answer(request)
-        val close = message.closes || response.close || !budget.requestFinished(channel, mayClose(request))
-        write(channel, Response(response.status, response.body, response.retryAfterS, close, response.headers))
+        val close = message.closes || response.close || !budget.requestFinished(connection, isWorkerRequest(request))
+        write(connection, Response(response.status, response.body, response.retryAfterS, close, response.headers))
         return !close
     }
 
-    private suspend fun write(channel: Link, response: Response) =
-        withTimeout(MESSAGE_TIMEOUT_MS) { channel.write(HttpWriter.response(response)) }
+    private suspend fun write(connection: Connection, response: Response) =
+        withTimeout(MESSAGE_TIMEOUT_MS) { connection.write(HttpWriter.response(response)) }
 
     private suspend fun answer(request: Request): Response =
         try {
--- a/src/main/kotlin/org/honeyjunction/io/KeyValueClient.kt
+++ b/src/main/kotlin/org/honeyjunction/io/KeyValueClient.kt
@@ -13,12 +13,12 @@
  * Client of the consensus-backed key-value store ("state service"): keeps to the store's limits, and joins transactions that
  * wait at the same time.
  *
- * Every suspending function throws [NoAnswerException] when no response arrives and [StateUnavailableException] when the
+ * Every suspending function throws [NoResponseException] when no response arrives and [StateUnavailableException] when the
  * store rejects the request or sends a malformed response, unless it says otherwise.
  */
 class KeyValueClient(loop: EventLoop, address: String, limits: StateLimits, clock: Clock) {
     private val requests = KeyValueRequests(loop, address, limits, clock)
-    private val writeBudget = Budget(limits.writesPerS, limits.writesPerS * BURST_SHARE, clock)
+    private val writeBudget = RateLimiter(limits.writesPerS, limits.writesPerS * BURST_SHARE, clock)
     private val writer = TransactionWriter(loop, requests, writeBudget, maxJoinedWrites(limits), clock)
 
     /** Whether a write queued now would take longer than users wait. */
@@ -31,7 +31,7 @@
     val queuedJobWrites: Int get() = writer.queue.jobWriteCount
 
     /** Writes a second that this node may make. */
-    val writeRatePerS: Double get() = writeBudget.perS
+    val writeRatePerS: Double get() = writeBudget.ratePerS
 
     /** Writes a second that this node makes, or should be making, for running and ending work. */
     val schedulingWritesPerS: Double get() = writer.queue.schedulingWritesPerS
--- a/src/main/kotlin/org/honeyjunction/io/KeyValueRequests.kt
+++ b/src/main/kotlin/org/honeyjunction/io/KeyValueRequests.kt
@@ -6,13 +6,13 @@
 
 /** Sends requests to the key-value store within its request limit, and retries those that it rejected for load. */
 internal class KeyValueRequests(loop: EventLoop, address: String, limits: StateLimits, clock: Clock) {
-    private val http = HttpClient(Connections(loop, most = MAX_CONNECTIONS), address, bodyLimit = MAX_RESPONSE_BYTES)
-    private val budget = Budget(limits.requestsPerS * BUDGET_SHARE, limits.requestsPerS * BUDGET_SHARE, clock)
+    private val http = HttpClient(ConnectionPool(loop, maxIdle = MAX_CONNECTIONS), address, bodyLimit = MAX_RESPONSE_BYTES)
+    private val budget = RateLimiter(limits.requestsPerS * BUDGET_SHARE, limits.requestsPerS * BUDGET_SHARE, clock)
 
     /**
      * Sends one request; an [urgent] one may use the reserve of the budget.
      *
-     * @throws NoAnswerException when no response arrived within [timeoutMs]; the request may have been executed
+     * @throws NoResponseException when no response arrived within [timeoutMs]; the request may have been executed
      * @throws StateUnavailableException when the store rejected every attempt for load; none was executed
      */
     suspend fun send(
--- a/src/main/kotlin/org/honeyjunction/io/PeerClient.kt
+++ b/src/main/kotlin/org/honeyjunction/io/PeerClient.kt
@@ -13,7 +13,7 @@
     /**
      * Sends [request] and waits up to [timeoutMs] for its response, including the time to connect.
      *
-     * @throws NoAnswerException when no valid response arrived in time; the request may have been executed
+     * @throws NoResponseException when no valid response arrived in time; the request may have been executed
      * @throws IOException when the connection failed; the request may have been executed
      */
     suspend fun ask(request: PeerMessage, timeoutMs: Long): PeerMessage {
@@ -28,9 +28,9 @@
                 response
             }
         } catch (e: TimeoutCancellationException) {
-            throw NoAnswerException("peer $address did not answer", e)
+            throw NoResponseException("peer $address did not answer", e)
         } catch (e: MalformedException) {
-            throw NoAnswerException("peer $address: ${e.message}", e)
+            throw NoResponseException("peer $address: ${e.message}", e)
         } finally {
             connection?.let { release(it, reusable) }
         }
--- a/src/main/kotlin/org/honeyjunction/io/PeerConnection.kt
+++ b/src/main/kotlin/org/honeyjunction/io/PeerConnection.kt
@@ -6,7 +6,7 @@
 import java.nio.ByteBuffer
 
 /** One end of a connection between controllers, which carries one request at a time. */
-internal class PeerConnection(private val channel: Link) {
+internal class PeerConnection(private val connection: Connection) {
     private val input = Buffer()
     private val buffer = ByteBuffer.allocate(BUFFER_BYTES)
 
@@ -19,15 +19,15 @@
         while (true) {
             PeerCodec.decode(input)?.let { return it }
             buffer.clear()
-            if (channel.read(buffer) < 0) return null
+            if (connection.read(buffer) < 0) return null
             buffer.flip()
             input.write(buffer)
         }
     }
 
-    suspend fun write(message: PeerMessage) = channel.write(PeerCodec.encode(message))
+    suspend fun write(message: PeerMessage) = connection.write(PeerCodec.encode(message))
 
-    fun close() = channel.close()
+    fun close() = connection.close()
 
     private companion object {
         const val BUFFER_BYTES = 8192
--- a/src/main/kotlin/org/honeyjunction/io/PeerServer.kt
+++ b/src/main/kotlin/org/honeyjunction/io/PeerServer.kt
@@ -37,7 +37,7 @@
         }
     }
 
-    private suspend fun serve(channel: Link) {
+    private suspend fun serve(channel: Connection) {
         val connection = PeerConnection(channel)
         try {
             while (true) {
--- a/src/main/kotlin/org/honeyjunction/io/Budget.kt
+++ b/src/main/kotlin/org/honeyjunction/io/RateLimiter.kt
@@ -5,18 +5,18 @@
 /**
  * Token bucket that keeps a client within the limit of another service. It starts full.
  *
- * @param perS tokens that are added each second
+ * @param ratePerS tokens that are added each second
  * @param burst tokens that the bucket holds at most
  */
-class Budget(perS: Double, private val burst: Double, private val clock: Clock) {
+class RateLimiter(ratePerS: Double, private val burst: Double, private val clock: Clock) {
     /** Tokens that are added each second. */
-    var perS = perS
+    var ratePerS = ratePerS
         private set
     private var tokens = burst
     private var lastRefillAt = clock.steady()
 
-    fun setRate(perS: Double) {
-        this.perS = perS
+    fun setRate(ratePerS: Double) {
+        this.ratePerS = ratePerS
     }
 
     /**
@@ -24,17 +24,17 @@
      * bucket holds are taken once it is full, and leave a debt that later callers wait for.
      */
     suspend fun take(count: Int, urgent: Boolean = false) {
-        val floor = if (urgent) 0.0 else burst * RESERVED_SHARE
+        val reservedTokens = if (urgent) 0.0 else burst * RESERVED_SHARE
         while (true) {
             val now = clock.steady()
-            tokens = minOf(burst, tokens + (now - lastRefillAt) * perS / 1000)
+            tokens = minOf(burst, tokens + (now - lastRefillAt) * ratePerS / 1000)
             lastRefillAt = now
-            val needed = minOf(count.toDouble(), burst - floor)
-            if (tokens - needed >= floor) {
+            val needed = minOf(count.toDouble(), burst - reservedTokens)
+            if (tokens - needed >= reservedTokens) {
                 tokens -= count
                 return
             }
-            val refillMs = ((needed + floor - tokens) * 1000 / perS).toLong()
+            val refillMs = ((needed + reservedTokens - tokens) * 1000 / ratePerS).toLong()
             delay(refillMs.coerceAtLeast(MIN_DELAY_MS))
         }
     }
--- a/src/main/kotlin/org/honeyjunction/io/RecentRate.kt
+++ b/src/main/kotlin/org/honeyjunction/io/RecentRate.kt
@@ -8,7 +8,7 @@
     private var updatedAt = clock.steady()
 
     /** [count] events happened now. */
-    fun note(count: Int) {
+    fun record(count: Int) {
         perS = perS() + count * 1000 / TIME_CONSTANT_MS
     }
 
--- a/src/main/kotlin/org/honeyjunction/io/SocketBudget.kt
+++ b/src/main/kotlin/org/honeyjunction/io/SocketBudget.kt
@@ -1,15 +1,15 @@
 package org.honeyjunction.io
 
 /**
- * Decides which connections a server keeps within its limit of [most] sockets. Thousands of workers, which may all reconnect
+ * Decides which connections a server keeps within its limit of [maxSockets] sockets. Thousands of workers, which may all reconnect
  * at once after a mass restart, have to leave sockets to users: idle worker connections are evicted first, and beyond half of
  * the limit workers connect anew for each heartbeat. A connection counts as a worker's once it has sent a worker's request.
  */
-class SocketBudget<C : Any>(private val most: Int) {
+class SocketBudget<C : Any>(private val maxSockets: Int) {
     /** The state of an open connection. */
-    enum class Standing {
+    enum class ConnectionState {
         /** Accepted, and without a request so far, so that its kind is unknown. */
-        FRESH,
+        NEW,
 
         /** A request is being answered. */
         BUSY,
@@ -27,52 +27,52 @@
         data object Rejected : Admission<Nothing>
     }
 
-    private val standings = HashMap<C, Standing>()
+    private val states = HashMap<C, ConnectionState>()
 
     /** Idle connections of workers, the least recently used first. */
     private val idleWorkers = LinkedHashSet<C>()
 
     /** Connections that are open. */
-    val open get() = standings.size
+    val open get() = states.size
 
     /** The most connections that were open at once since the start. */
     var peak = 0
         private set
 
     /** The state of [connection]; null where it is not open. */
-    fun standing(connection: C): Standing? = standings[connection]
+    fun stateOf(connection: C): ConnectionState? = states[connection]
 
     /** A new connection was accepted. From three quarters of the limit on it replaces an idle worker connection. */
     fun admit(connection: C): Admission<C> {
-        val evicted = if (open >= most - most / RESERVED_PART) idleWorkers.firstOrNull() else null
-        if (evicted == null && open >= most) return Admission.Rejected
+        val evicted = if (open >= maxSockets - maxSockets / RESERVED_PART) idleWorkers.firstOrNull() else null
+        if (evicted == null && open >= maxSockets) return Admission.Rejected
         evicted?.let(::closed)
-        enter(connection, Standing.FRESH)
+        transition(connection, ConnectionState.NEW)
         peak = maxOf(peak, open)
         return if (evicted == null) Admission.Admitted else Admission.Evicting(evicted)
     }
 
     /** [connection] sent a request. */
-    fun requestStarted(connection: C) = enter(connection, Standing.BUSY)
+    fun requestStarted(connection: C) = transition(connection, ConnectionState.BUSY)
 
     /** The request of [connection], a [worker]'s or a user's, was answered. Returns whether the connection may stay open. */
     fun requestFinished(connection: C, worker: Boolean): Boolean {
-        if (connection !in standings) return false
-        enter(connection, if (worker) Standing.IDLE_WORKER else Standing.IDLE_USER)
-        return !worker || open <= most / 2
+        if (connection !in states) return false
+        transition(connection, if (worker) ConnectionState.IDLE_WORKER else ConnectionState.IDLE_USER)
+        return !worker || open <= maxSockets / 2
     }
 
     /** [connection] was closed. */
     fun closed(connection: C) {
-        standings.remove(connection)
+        states.remove(connection)
         idleWorkers -= connection
     }
 
     /** The only place that changes a standing. An evicted connection stays out, whatever its coroutine still reports. */
-    private fun enter(connection: C, next: Standing) {
-        if (next != Standing.FRESH && connection !in standings) return
-        standings[connection] = next
-        if (next == Standing.IDLE_WORKER) idleWorkers += connection else idleWorkers -= connection
+    private fun transition(connection: C, next: ConnectionState) {
+        if (next != ConnectionState.NEW && connection !in states) return
+        states[connection] = next
+        if (next == ConnectionState.IDLE_WORKER) idleWorkers += connection else idleWorkers -= connection
     }
 
     private companion object {
--- a/src/main/kotlin/org/honeyjunction/io/TransactionWriter.kt
+++ b/src/main/kotlin/org/honeyjunction/io/TransactionWriter.kt
@@ -15,7 +15,7 @@
 internal class TransactionWriter(
     private val loop: EventLoop,
     private val requests: KeyValueRequests,
-    private val writeBudget: Budget,
+    private val writeBudget: RateLimiter,
     private val maxWrites: Double,
     clock: Clock,
 ) {
--- a/src/main/kotlin/org/honeyjunction/io/WriteQueue.kt
+++ b/src/main/kotlin/org/honeyjunction/io/WriteQueue.kt
@@ -65,7 +65,7 @@
         queue.addLast(lane, transaction)
         unfinishedWrites[priority.ordinal] += transaction.writes.size
         val isNewJob = priority == WritePriority.WITHIN_QUOTA || priority == WritePriority.BEYOND_QUOTA
-        if (!isNewJob) recentSchedulingWrites.note(transaction.writes.size)
+        if (!isNewJob) recentSchedulingWrites.record(transaction.writes.size)
         return true
     }
 
--- a/src/main/kotlin/org/honeyjunction/simulation/VirtualEventLoop.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/VirtualEventLoop.kt
@@ -11,8 +11,8 @@
 import kotlinx.coroutines.SupervisorJob
 import kotlinx.coroutines.disposeOnCancellation
 import org.honeyjunction.io.Clock
+import org.honeyjunction.io.Connection
 import org.honeyjunction.io.EventLoop
-import org.honeyjunction.io.Link
 import org.honeyjunction.io.Listener
 import kotlin.coroutines.CoroutineContext
 
@@ -78,15 +78,15 @@
 
     override val scope get() = process.scope
 
-    override suspend fun connect(address: String): Link = net.connect(name, address)
+    override suspend fun connect(address: String): Connection = net.connect(name, address)
 
     override fun listen(address: String): Listener = net.listen(name, address)
 
-    override fun occupy(ms: Long) {
+    override fun blockFor(ms: Long) {
         process.frozenUntil = maxOf(process.frozenUntil, net.time.now + ms)
     }
 
-    override fun named(name: String): EventLoop = VirtualEventLoop(name, net, clock, process)
+    override fun withHostName(name: String): EventLoop = VirtualEventLoop(name, net, clock, process)
 
     /** As a process that is killed: its connections are reset by its machine. */
     override fun close() {
--- a/src/main/kotlin/org/honeyjunction/simulation/VirtualNet.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/VirtualNet.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.CancellableContinuation
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.suspendCancellableCoroutine
-import org.honeyjunction.io.Link
+import org.honeyjunction.io.Connection
 import org.honeyjunction.io.Listener
 import java.io.IOException
 import java.nio.ByteBuffer
@@ -31,7 +31,7 @@
 
     private val rules = ArrayList<Rule>()
     private val listeners = HashMap<String, VirtualListener>()
-    private val open = LinkedHashSet<VirtualLink>()
+    private val open = LinkedHashSet<VirtualConnection>()
     private var ports = FIRST_PORT
 
     /** The one way from those whom [from] means to those whom [to] means. */
@@ -59,7 +59,7 @@
         return VirtualListener(name, at).also { listeners[at] = it }
     }
 
-    suspend fun connect(from: String, address: String): Link {
+    suspend fun connect(from: String, address: String): Connection {
         while (true) {
             delay(latency())
             val listener = listeners[address]?.takeIf { it.isOpen } ?: throw IOException("Connection refused")
@@ -70,8 +70,8 @@
                 delay(AGAIN_MS)
                 continue
             }
-            val here = VirtualLink(from, listener.name)
-            val there = VirtualLink(listener.name, from)
+            val here = VirtualConnection(from, listener.name)
+            val there = VirtualConnection(listener.name, from)
             here.other = there
             there.other = here
             open += here
@@ -90,18 +90,18 @@
     private fun latency() = 1L + random.nextInt(3)
 
     inner class VirtualListener(val name: String, override val address: String) : Listener {
-        private val offered = ArrayDeque<VirtualLink>()
-        private var waiting: CancellableContinuation<Link>? = null
+        private val offered = ArrayDeque<VirtualConnection>()
+        private var waiting: CancellableContinuation<Connection>? = null
         override var isOpen = true
             private set
 
-        fun offer(link: VirtualLink) {
+        fun offer(link: VirtualConnection) {
             val next = waiting
             waiting = null
             if (next == null || !next.isActive) offered += link else next.resume(link)
         }
 
-        override suspend fun accept(): Link = offered.removeFirstOrNull() ?: suspendCancellableCoroutine { waiting = it }
+        override suspend fun accept(): Connection = offered.removeFirstOrNull() ?: suspendCancellableCoroutine { waiting = it }
 
         override fun close() {
             isOpen = false
@@ -110,8 +110,8 @@
         }
     }
 
-    inner class VirtualLink(val here: String, val there: String) : Link {
-        lateinit var other: VirtualLink
+    inner class VirtualConnection(val here: String, val there: String) : Connection {
+        lateinit var other: VirtualConnection
         private val arrived = ArrayDeque<ByteArray>()
         private var at = 0
         private var ended = false
--- a/src/test/kotlin/org/honeyjunction/app/FaultyStateServiceCluster.kt
+++ b/src/test/kotlin/org/honeyjunction/app/FaultyStateServiceCluster.kt
@@ -15,7 +15,7 @@
 import org.honeyjunction.fake.PlannedJob
 import org.honeyjunction.fake.Work
 import org.honeyjunction.io.ANY_PORT
-import org.honeyjunction.io.Connections
+import org.honeyjunction.io.ConnectionPool
 import org.honeyjunction.io.EventLoop
 import org.honeyjunction.io.HttpClient
 import org.honeyjunction.io.HttpServer
@@ -79,9 +79,9 @@
             Tuning(idleMs = 6_000, forecastMs = 20_000),
             place,
         )
-    private val readers = loopback.loop.named("readers")
-    private val clients = listen.map { HttpClient(Connections(readers, most = 64), it) }
-    val users = FakeUsers(loopback.loop.named(LoopbackCluster.USERS), listen, loopback.watch, seed, loopback::now)
+    private val readers = loopback.loop.withHostName("readers")
+    private val clients = listen.map { HttpClient(ConnectionPool(readers, maxIdle = 64), it) }
+    val users = FakeUsers(loopback.loop.withHostName(LoopbackCluster.USERS), listen, loopback.watch, seed, loopback::now)
     val now get() = loopback.now()
 
     /** The newest final answer received for a job. */
@@ -90,11 +90,11 @@
     val broken get() = loopback.watch.broken + place.failures.map { "failed: $it" }
 
     private fun proxy(node: Int): String {
-        val loop: EventLoop = loopback.loop.named(LoopbackCluster.STATE)
-        val client = HttpClient(Connections(loop, most = 64), loopback.stateAddresses[node], bodyLimit = 16 * 1024 * 1024)
+        val loop: EventLoop = loopback.loop.withHostName(LoopbackCluster.STATE)
+        val client = HttpClient(ConnectionPool(loop, maxIdle = 64), loopback.stateAddresses[node], bodyLimit = 16 * 1024 * 1024)
 
         suspend fun pass(r: Request) = client.send(r.method, r.target, r.body, PASS_MS)
-        return HttpServer(loop, 200, mayClose = { false }) { r ->
+        return HttpServer(loop, 200, isWorkerRequest = { false }) { r ->
             when (val f = fate(r)) {
                 Fate.Answered -> pass(r)
                 Fate.Lost -> {
--- a/src/test/kotlin/org/honeyjunction/app/HistoryCheckerTest.kt
+++ b/src/test/kotlin/org/honeyjunction/app/HistoryCheckerTest.kt
@@ -134,7 +134,7 @@
             }
         val nodes =
             List(2) { n ->
-                HttpServer(VirtualEventLoop("hive-$n", net) { throw it }, 100, mayClose = { false }) { r ->
+                HttpServer(VirtualEventLoop("hive-$n", net) { throw it }, 100, isWorkerRequest = { false }) { r ->
                     val id =
                         if (r.path == FakeUsers.RUNS) {
                             Json.readObject(r.body).path("Ref").asText()
@@ -182,7 +182,7 @@
                     throw it
                 },
                 100,
-                mayClose = { false },
+                isWorkerRequest = { false },
             ) { if (up) told("queued") else Response(503) }.listen("127.0.0.1:0").address
         val users = FakeUsers(VirtualEventLoop("users", net) { throw it }, listOf(node), watch, 1) { time.now }
         users.follow(PlannedJob(Work(spec(), 2.0), 0, null))
--- a/src/test/kotlin/org/honeyjunction/app/InvalidRequestsTest.kt
+++ b/src/test/kotlin/org/honeyjunction/app/InvalidRequestsTest.kt
@@ -7,7 +7,7 @@
 import org.honeyjunction.core.control.leader.Tuning
 import org.honeyjunction.fake.FakeKeyValueStore
 import org.honeyjunction.fake.Fault
-import org.honeyjunction.io.Connections
+import org.honeyjunction.io.ConnectionPool
 import org.honeyjunction.io.HttpClient
 import org.honeyjunction.wire.Json
 import org.honeyjunction.wire.Response
@@ -128,8 +128,8 @@
                 },
                 place = place,
             )
-        val loop = cluster.loopback.loop.named("users")
-        val clients = cluster.nodes.map { HttpClient(Connections(loop, most = 64), it) }
+        val loop = cluster.loopback.loop.withHostName("users")
+        val clients = cluster.nodes.map { HttpClient(ConnectionPool(loop, maxIdle = 64), it) }
         var ids = 0
 
         init {
--- a/src/test/kotlin/org/honeyjunction/app/StatusConsistencyTest.kt
+++ b/src/test/kotlin/org/honeyjunction/app/StatusConsistencyTest.kt
@@ -50,7 +50,7 @@
             LocalCluster(settings(changesPerS), NODES, Tuning(idleMs = 6_000, forecastMs = 20_000), seed, planned, {}, place = place)
         val users =
             StatusConsistencyUsers(
-                cluster.loopback.loop.named("users"),
+                cluster.loopback.loop.withHostName("users"),
                 cluster.nodes,
                 cluster.loopback.watch,
                 random,
--- a/src/test/kotlin/org/honeyjunction/app/StatusConsistencyUsers.kt
+++ b/src/test/kotlin/org/honeyjunction/app/StatusConsistencyUsers.kt
@@ -6,7 +6,7 @@
 import kotlinx.coroutines.launch
 import org.honeyjunction.fake.HistoryChecker
 import org.honeyjunction.fake.PlannedJob
-import org.honeyjunction.io.Connections
+import org.honeyjunction.io.ConnectionPool
 import org.honeyjunction.io.EventLoop
 import org.honeyjunction.io.HttpClient
 import org.honeyjunction.wire.JobCodec
@@ -55,7 +55,7 @@
     /** Repeats of what was accepted, and those that were put off. */
     var repeats = 0
     var putOff = 0
-    private val clients = nodes.map { HttpClient(Connections(loop, most = 64), it) }
+    private val clients = nodes.map { HttpClient(ConnectionPool(loop, maxIdle = 64), it) }
     private var turn = 0
 
     fun follow(planned: PlannedJob, cancel: Cancel) {
--- a/src/test/kotlin/org/honeyjunction/io/SocketBudgetTest.kt
+++ b/src/test/kotlin/org/honeyjunction/io/SocketBudgetTest.kt
@@ -44,7 +44,7 @@
         assertEquals(SocketBudget.Admission.Rejected, budget.admit("user 4"))
         // The evicted connection's coroutine reports its end later.
         budget.requestFinished("worker 2", worker = true)
-        assertEquals(null, budget.standing("worker 2"))
+        assertEquals(null, budget.stateOf("worker 2"))
     }
 
     /** Steps as numbers, a tenth of them for the same connection: never more than the limit, no closed connection counted. */
--- a/src/test/kotlin/org/honeyjunction/wire/GoldenTalks.kt
+++ b/src/test/kotlin/org/honeyjunction/wire/GoldenTalks.kt
@@ -29,7 +29,7 @@
         EventLoop().use { loop ->
             val asked = ArrayList<String>()
             val server =
-                HttpServer(loop, 8, mayClose = { false }) { r ->
+                HttpServer(loop, 8, isWorkerRequest = { false }) { r ->
                     asked += "${r.method} ${r.target} ${String(r.body)}".trimEnd()
                     answers["${r.method} ${r.target}"]?.let { Response(200, it) } ?: Response(404)
                 }
