--- a/src/main/kotlin/org/honeyjunction/core/placement/ColocationPlanner.kt
+++ b/src/main/kotlin/org/honeyjunction/core/placement/ColocationPlanner.kt
@@ -19,9 +19,7 @@
     private class MachineFit(val machine: MachineScene, val fittingTasks: Int)
 
     private val machineScenes by lazy(LazyThreadSafetyMode.NONE) {
-        summary.capacities.filter { it.place >= 0 }.map { capacity ->
-            capacity.scene.let { MachineScene(capacity, it, rules.contextIndex(it)) }
-        }
+        summary.capacities.filter { it.place >= 0 }.map { capacity -> capacity.scene.let { MachineScene(capacity, it, rules.contextIndex(it)) } }
     }
 
     /** The total cost of colocating a job's tasks at [place]; the choice with the fewest [unplaced] tasks is the best. */
--- a/src/main/kotlin/org/honeyjunction/io/Channels.kt
+++ b/src/main/kotlin/org/honeyjunction/io/Channels.kt
@@ -22,19 +22,19 @@
     override fun failed(error: Throwable, attachment: Unit) = continuation.resumeWithException(error)
 }
 
-/** Runs one operation of a channel; its cancellation closes the channel, whose state is then unknown. */
+/** Runs one asynchronous operation of a channel. Cancellation closes the channel, because its state is then unknown. */
 private suspend fun <T> Closeable.await(start: (CompletionHandler<T, Unit>) -> Unit): T =
     suspendCancellableCoroutine { continuation ->
         continuation.invokeOnCancellation { ignoringIOException { close() } }
         start(ResumingCompletionHandler(continuation))
     }
 
-/** Runs [block], which closes or tunes a socket, and ignores its [IOException]. */
+/** Runs [block], which closes a socket or sets one of its options, and ignores an [IOException] from it. */
 inline fun ignoringIOException(block: () -> Unit) {
     try {
         block()
     } catch (_: IOException) {
-        // The socket is of no further use, or works without the option.
+        // The socket is no longer needed, or works without the option.
     }
 }
 
@@ -50,7 +50,11 @@
     override fun close() = ignoringIOException { channel.close() }
 
     companion object {
-        /** @throws IOException when no connection can be made; the channel is then closed */
+        /**
+         * Connects to [address].
+         *
+         * @throws IOException when no connection can be made; the channel is then closed
+         */
         suspend fun connect(group: AsynchronousChannelGroup, address: String): Connection {
             val channel = AsynchronousSocketChannel.open(group)
             var connected = false
@@ -87,18 +91,18 @@
     override fun close() = ignoringIOException { server.close() }
 
     private companion object {
-        /** Connections that the system holds until they are accepted. */
+        /** Connections that the operating system queues until they are accepted. */
         const val BACKLOG = 512
     }
 }
 
 private fun listenAddress(text: String) = if (text == ANY_PORT) InetSocketAddress(ANY_PORT.substringBefore(':'), 0) else socketAddress(text)
 
-/** Listens on loopback at a port that the system chooses. */
+/** Address to listen at on the loopback interface, with a port that the operating system chooses. */
 const val ANY_PORT = "127.0.0.1:0"
 
 /**
- * An address from the settings: a numeric IPv4 address and a port, never resolved by DNS.
+ * Parses an address from the settings: a numeric IPv4 address and a port, never resolved by DNS.
  *
  * @throws IllegalArgumentException for any other text
  */
--- a/src/main/kotlin/org/honeyjunction/io/CompareAndSwapOutcome.kt
+++ b/src/main/kotlin/org/honeyjunction/io/CompareAndSwapOutcome.kt
@@ -1,6 +1,6 @@
 package org.honeyjunction.io
 
-/** What became of a compare-and-swap transaction on the key-value store. */
+/** Outcome of a compare-and-swap transaction on the key-value store. */
 sealed interface CompareAndSwapOutcome {
     /** Every condition held and every write was applied at [revision] of the store. */
     class Applied(val revision: Long) : CompareAndSwapOutcome
--- a/src/main/kotlin/org/honeyjunction/io/ConnectionPool.kt
+++ b/src/main/kotlin/org/honeyjunction/io/ConnectionPool.kt
@@ -1,8 +1,8 @@
 package org.honeyjunction.io
 
 /**
- * Pool of idle connections: at most [maxIdle] in all and [maxIdlePerAddress] to each address; beyond that the least recently used one is
- * closed.
+ * Pool of idle connections: at most [maxIdle] in all and [maxIdlePerAddress] to each address. Beyond [maxIdle] the least recently
+ * used connection is closed.
  */
 class ConnectionPool(private val loop: EventLoop, private val maxIdle: Int, private val maxIdlePerAddress: Int = maxIdle) {
     private class IdleConnection(val address: String, val connection: Connection)
@@ -10,14 +10,17 @@
     private val idle = LinkedHashSet<IdleConnection>()
     private val byAddress = HashMap<String, ArrayDeque<IdleConnection>>()
 
-    /** An idle connection to [address], the latest used one, or else a new one. The caller owns it. */
+    /** Returns the most recently used idle connection to [address], or else a new one; the caller owns it until [release]. */
     suspend fun acquire(address: String): Connection {
         val pooled = byAddress[address]?.lastOrNull() ?: return loop.connect(address)
         remove(pooled)
         return pooled.connection
     }
 
-    /** Puts a connection that nothing is in flight on into the pool, or closes it where the pool has enough to [address]. */
+    /**
+     * Returns [connection], which must have no request in flight, to the pool; closes it if the pool already holds
+     * [maxIdlePerAddress] connections to [address].
+     */
     fun release(address: String, connection: Connection) {
         val idleAtAddress = byAddress.getOrPut(address, ::ArrayDeque)
         if (idleAtAddress.size >= maxIdlePerAddress) return connection.close()
@@ -27,6 +30,7 @@
         if (idle.size > maxIdle) close(idle.first())
     }
 
+    /** Closes all idle connections. */
     fun closeAll() = idle.toList().forEach(::close)
 
     private fun close(entry: IdleConnection) {
--- a/src/main/kotlin/org/honeyjunction/io/FairPriorityQueue.kt
+++ b/src/main/kotlin/org/honeyjunction/io/FairPriorityQueue.kt
@@ -11,6 +11,7 @@
     var size = 0
         private set
 
+    /** Appends [item] to [lane]. */
     fun addLast(lane: String, item: T) {
         lanes.getOrPut(lane, ::ArrayDeque).addLast(item)
         size++
@@ -21,11 +22,12 @@
     /** The item that [removeFirst] removes; the queue must not be empty. */
     fun first(): T = lanes.values.first().first()
 
+    /** Removes and returns the next item; the queue must not be empty. */
     fun removeFirst(): T {
         val (lane, items) = lanes.entries.first()
         val item = items.removeFirst()
         size--
-        // The lane goes to the end of the round, or leaves it when it is empty.
+        // A lane that was served moves to the end of the round-robin order; an empty lane is removed.
         lanes.remove(lane)
         if (items.isNotEmpty()) lanes[lane] = items
         return item
--- a/src/main/kotlin/org/honeyjunction/io/HttpClient.kt
+++ b/src/main/kotlin/org/honeyjunction/io/HttpClient.kt
@@ -14,17 +14,20 @@
 /** No response arrived: the request may have been executed, or may still be executed later. */
 class NoResponseException(message: String, cause: Throwable? = null) : IOException(message, cause)
 
-/** HTTP client of one address; [connections] may be shared with other addresses. A response's body has [bodyLimit] bytes at most. */
+/**
+ * HTTP client for one address; [connections] may be shared with clients of other addresses. A response body may have at most
+ * [bodyLimit] bytes.
+ */
 class HttpClient(private val connections: ConnectionPool, private val address: String, bodyLimit: Int = 4 * 1024 * 1024) {
     private val limits = HttpLimits(body = bodyLimit)
 
     /**
      * Sends one request and waits up to [timeoutMs] for the response.
      *
-     * [maySend] is asked once there is a connection, just before anything is sent: the caller may no longer be entitled to the
-     * request by then, for instance because it lost the leader lease.
+     * [maySend] is called once a connection is open, just before anything is sent: by then the caller may no longer be entitled
+     * to send the request, for instance because it lost the leader lease.
      *
-     * @throws NoResponseException in every case without a whole response
+     * @throws NoResponseException whenever no complete response arrives
      */
     suspend fun send(
         method: String,
@@ -47,10 +50,10 @@
         val connection = connections.acquire(address)
         var reusable = false
         try {
-            if (!maySend()) throw NoResponseException("not sent to $address: it is over")
+            if (!maySend()) throw NoResponseException("request to $address not sent: the sender is no longer entitled to send it")
             connection.write(HttpWriter.request(address, request))
             val message = read(connection)
-            val status = message.start[1].toIntOrNull() ?: throw IOException("bad status")
+            val status = message.start[1].toIntOrNull() ?: throw IOException("invalid status code in the response")
             reusable = !message.closes
             if (reusable) connections.release(address, connection)
             return Response(status, message.body, message.headers["retry-after"]?.toIntOrNull())
--- a/src/main/kotlin/org/honeyjunction/io/HttpServer.kt
+++ b/src/main/kotlin/org/honeyjunction/io/HttpServer.kt
@@ -19,9 +19,9 @@
 /**
  * HTTP/1.1 server without pipelining; a coroutine serves each connection.
  *
- * @param maxConnections open connections at most; see [SocketBudget]
- * @param isWorkerRequest whether a request is a worker's, so that its connection may be closed to leave sockets to users
- * @param maxBodyBytes size of a request's body at most
+ * @param maxConnections maximum number of open connections; see [SocketBudget]
+ * @param isWorkerRequest whether a request comes from a worker, whose connection may be closed to keep sockets free for users
+ * @param maxBodyBytes maximum size of a request body, in bytes
  * @param handle answers a request; an [IllegalStateException] becomes status 500
  */
 class HttpServer(
@@ -34,7 +34,7 @@
     private val log = LoggerFactory.getLogger(HttpServer::class.java)
     private val budget = SocketBudget<Connection>(maxConnections)
 
-    /** For the log: connections now, and the most at once. */
+    /** Open connections now and at the peak, for the log. */
     val statistics get() = "${budget.open} connections, at most ${budget.peak} of $maxConnections"
 
     /** Starts to accept connections at [address]. */
@@ -50,7 +50,7 @@
                 try {
                     server.accept()
                 } catch (e: IOException) {
-                    // Probably out of sockets: the listener itself is still usable.
+                    // The process is probably out of sockets; the listener itself is still usable.
                     log.debug("accept failed: {}", e.message)
                     delay(ACCEPT_RETRY_MS)
                     continue
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Makes room for [connection], or closes it and returns false. */
+    /** Admits [connection], evicting another one if necessary; closes [connection] and returns false if it is rejected. */
     private fun admit(connection: Connection): Boolean {
         when (val admission = budget.admit(connection)) {
             is SocketBudget.Admission.Rejected -> {
@@ -76,7 +76,7 @@
         try {
             serve(connection)
         } catch (_: IOException) {
-            // The client closed the connection, or was too slow.
+            // The client closed the connection, or did not send a request in time.
         } catch (_: TimeoutCancellationException) {
             // The client does not read the response.
         } finally {
@@ -115,7 +115,7 @@
                 try {
                     withTimeout(maxOf(timeoutMs, 1)) { connection.read(buffer) }
                 } catch (e: TimeoutCancellationException) {
-                    throw IOException("too slow", e)
+                    throw IOException("the client did not send a request in time", e)
                 }
             if (count < 0) return null
             buffer.flip()
@@ -143,7 +143,7 @@
         } catch (e: CancellationException) {
             throw e
         } catch (e: IllegalStateException) {
-            // A broken invariant costs this one request, not the process.
+            // A violated invariant fails only this request, not the process.
             log.error("{} {} failed", request.method, request.path, e)
             Response(INTERNAL_ERROR)
         }
@@ -151,10 +151,13 @@
     private companion object {
         const val BUFFER_BYTES = 4096
 
-        /** Time to receive one request, from the end of the one before, once its first byte is there; and to send a response. */
+        /**
+         * Time limit for receiving a request and for sending a response. For a request the time counts from the end of the
+         * previous one, but the limit applies only once its first byte has arrived.
+         */
         const val MESSAGE_TIMEOUT_MS = 8_000L
 
-        /** Time that a connection may be idle between requests. */
+        /** Longest time that a connection may be idle between requests. */
         const val IDLE_TIMEOUT_MS = 120_000L
         const val ACCEPT_RETRY_MS = 50L
         const val INTERNAL_ERROR = 500
--- a/src/main/kotlin/org/honeyjunction/io/KeyValueClient.kt
+++ b/src/main/kotlin/org/honeyjunction/io/KeyValueClient.kt
@@ -6,12 +6,12 @@
 import org.honeyjunction.wire.StateCodec
 import org.honeyjunction.wire.Write
 
-/** All entries of a scan; [revision] is that of its first page, from which [KeyValueClient.changes] can go on. */
+/** All entries of a scan; [revision] is the store's revision at its first page, from which [KeyValueClient.changes] can continue. */
 data class KeyScan(val entries: List<Entry>, val revision: Long)
 
 /**
- * Client of the consensus-backed key-value store ("state service"): keeps to the store's limits, and joins transactions that
- * wait at the same time.
+ * Client of the consensus-backed key-value store ("state service"): stays within the store's limits, and joins
+ * transactions that wait at the same time.
  *
  * Every suspending function throws [NoResponseException] when no response arrives and [StateUnavailableException] when the
  * store rejects the request or sends a malformed response, unless it says otherwise.
@@ -21,7 +21,7 @@
     private val writeBudget = RateLimiter(limits.writesPerS, limits.writesPerS * BURST_SHARE, clock)
     private val writer = TransactionWriter(loop, requests, writeBudget, maxJoinedWrites(limits), clock)
 
-    /** Whether a write queued now would take longer than users wait. */
+    /** Whether a write queued now would take longer than users are willing to wait. */
     val congested: Boolean get() = queuedWrites > writeRatePerS * CONGESTED_S
 
     /** Writes that have no outcome yet. */
@@ -36,10 +36,10 @@
     /** Writes a second that this node makes, or should be making, for running and ending work. */
     val schedulingWritesPerS: Double get() = writer.queue.schedulingWritesPerS
 
-    /** Seconds that a write of [priority] queued now would wait for those before it. */
+    /** Seconds that a write of [priority] queued now would wait for the writes ahead of it. */
     fun queueingDelayS(priority: WritePriority): Double = writer.queue.writesUpTo(priority) / writeRatePerS
 
-    /** Sets the writes a second that this node may make; all nodes together keep to the store's limit. */
+    /** Sets the writes a second that this node may make; all nodes together must stay within the store's limit. */
     fun setWriteRate(perS: Double) = writeBudget.setRate(perS)
 
     /** The entry at [key]; version 0 and no value when there is none. */
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Which of [keys] exist, found by transactions that only compare: these use up no write budget. */
+    /** Returns which of [keys] exist, using transactions without writes, which consume no write budget. */
     suspend fun existing(keys: Collection<String>): Set<String> {
         val found = HashSet<String>()
         while (found.size < keys.size) {
@@ -113,7 +113,7 @@
         requests.send("DELETE", "/leases/$id", urgent = true)
     }
 
-    /** Sends a transaction on its own, ahead of the queue. Its revision, or null when a condition failed. */
+    /** Sends a transaction on its own, ahead of the queue. Returns its revision, or null when a condition failed. */
     suspend fun commitNow(conditions: List<Condition>, writes: List<Write>): Long? {
         writeBudget.take(writes.size, urgent = true)
         val response = requests.send("POST", KeyValueRequests.COMMIT, StateCodec.commit(conditions, writes), urgent = true)
@@ -122,10 +122,10 @@
     }
 
     /**
-     * Queues a transaction; it is joined with others to which its conditions do not stand in the way (a leader's writes all
-     * share its lease condition). Within one [priority], lanes ([lane] is a team) take turns, so that many jobs of one team
-     * that end together do not delay the other teams' users. Throws no [java.io.IOException]: a missing response is
-     * [CompareAndSwapOutcome.Unknown].
+     * Queues a transaction, which may be joined with other queued transactions unless their conditions conflict (all writes of
+     * a leader share its lease condition). Within one [priority], lanes ([lane] is a team) are served round robin, so that many
+     * jobs of one team that end together do not delay the users of other teams. Throws no [java.io.IOException]: a missing
+     * response is reported as [CompareAndSwapOutcome.Unknown].
      */
     suspend fun commit(
         conditions: List<Condition>,
@@ -141,16 +141,16 @@
         const val SCAN_PAGE_ENTRIES = 500
         const val EXTEND_TIMEOUT_MS = 1_000L
 
-        /** What a watch may take beyond the time that it asks the store to wait. */
+        /** Time that a watch may take beyond the time that the store is asked to wait. */
         const val WATCH_SLACK_MS = 15_000L
 
-        /** Queued writes worth more seconds than this are congestion. */
+        /** Queued writes that take more seconds than this count as congestion. */
         const val CONGESTED_S = 2.0
 
-        /** Burst, as a part of the writes of a second; the rest is for leader terms, leases and clock differences. */
+        /** Burst, as a share of the writes per second; the rest is left for leader terms, leases and clock differences. */
         const val BURST_SHARE = 0.4
 
-        /** Size of a joined transaction, as a part of the writes of a second. */
+        /** Maximum size of a joined transaction, as a share of the writes per second. */
         const val JOINED_SHARE = 0.6
 
         /**
--- a/src/main/kotlin/org/honeyjunction/io/KeyValueRequests.kt
+++ b/src/main/kotlin/org/honeyjunction/io/KeyValueRequests.kt
@@ -44,7 +44,7 @@
         private const val MAX_CONNECTIONS = 6
         private const val MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 
-        /** Part of the store's request limit that one node uses. */
+        /** Share of the store's request limit that one node uses. */
         private const val BUDGET_SHARE = 0.8
         private const val TIMEOUT_MS = 1_500L
         private const val MAX_ATTEMPTS = 4
@@ -54,11 +54,11 @@
     }
 }
 
-/** [response], unless its status is not 200. */
+/** Returns [response] if its status is 200; otherwise throws [StateUnavailableException]. */
 internal fun requireOk(response: Response): Response =
     if (response.status == KeyValueRequests.OK) response else throw StateUnavailableException("state service: ${response.status}")
 
-/** What [read] returns; a malformed response counts as none. */
+/** Returns the result of [read]; throws [StateUnavailableException] for a malformed response. */
 internal inline fun <T> parseResponse(read: () -> T): T =
     try {
         read()
--- a/src/main/kotlin/org/honeyjunction/io/PeerClient.kt
+++ b/src/main/kotlin/org/honeyjunction/io/PeerClient.kt
@@ -6,7 +6,7 @@
 import org.honeyjunction.wire.PeerMessage
 import java.io.IOException
 
-/** Client of one peer controller. Concurrent requests use connections of their own, some of which are kept when idle. */
+/** Client of one peer controller. Concurrent requests use separate connections; at most [MAX_IDLE] are kept when idle. */
 class PeerClient(private val loop: EventLoop, private val address: String) {
     private val idle = ArrayDeque<PeerConnection>()
 
--- a/src/main/kotlin/org/honeyjunction/io/PeerServer.kt
+++ b/src/main/kotlin/org/honeyjunction/io/PeerServer.kt
@@ -9,12 +9,12 @@
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
-/** Serves other controllers: [answer] makes the response to each request. */
+/** Serves requests of other controllers; [answer] computes the response to each request. */
 class PeerServer(private val loop: EventLoop, private val answer: suspend (PeerMessage) -> PeerMessage) {
     private val log = LoggerFactory.getLogger(PeerServer::class.java)
     private var open = 0
 
-    /** Starts to accept connections at [address]; beyond [MAX_CONNECTIONS] they are closed at once. */
+    /** Starts to accept connections at [address]; connections beyond [MAX_CONNECTIONS] are closed at once. */
     fun listen(address: String) {
         val server = loop.listen(address)
         loop.scope.launch {
@@ -48,9 +48,9 @@
         } catch (e: IOException) {
             log.debug("peer connection ended: {}", e.message)
         } catch (e: MalformedException) {
-            log.warn("a peer sent what can't be read: {}", e.message)
+            log.warn("malformed message from a peer: {}", e.message)
         } catch (_: TimeoutCancellationException) {
-            // Idle, or the peer does not read the response.
+            // The connection was idle for too long, or the peer does not read the response.
         } finally {
             open--
             connection.close()
--- a/src/main/kotlin/org/honeyjunction/io/RateLimiter.kt
+++ b/src/main/kotlin/org/honeyjunction/io/RateLimiter.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.delay
 
 /**
- * Token bucket that keeps a client within the limit of another service. It starts full.
+ * Token bucket that keeps a client within the rate limit of another service. The bucket starts full.
  *
  * @param ratePerS tokens that are added each second
  * @param burst tokens that the bucket holds at most
@@ -15,13 +15,15 @@
     private var tokens = burst
     private var lastRefillAt = clock.steady()
 
+    /** Changes the refill rate; tokens that are already in the bucket stay. */
     fun setRate(ratePerS: Double) {
         this.ratePerS = ratePerS
     }
 
     /**
-     * Waits until [count] tokens are there and takes them; only [urgent] callers may use the reserve. More tokens than the
-     * bucket holds are taken once it is full, and leave a debt that later callers wait for.
+     * Waits until [count] tokens are available and takes them. Only [urgent] callers may use the reserved share. A request for
+     * more tokens than the bucket can hold is granted once the bucket is full, and leaves a negative balance that later callers
+     * wait for.
      */
     suspend fun take(count: Int, urgent: Boolean = false) {
         val reservedTokens = if (urgent) 0.0 else burst * RESERVED_SHARE
@@ -40,7 +42,7 @@
     }
 
     private companion object {
-        /** Part of the burst that is kept for urgent callers. */
+        /** Share of the burst that is reserved for urgent callers. */
         const val RESERVED_SHARE = 0.15
         const val MIN_DELAY_MS = 2L
     }
--- a/src/main/kotlin/org/honeyjunction/io/RecentRate.kt
+++ b/src/main/kotlin/org/honeyjunction/io/RecentRate.kt
@@ -7,7 +7,7 @@
     private var perS = 0.0
     private var updatedAt = clock.steady()
 
-    /** [count] events happened now. */
+    /** Records [count] events that happen now. */
     fun record(count: Int) {
         perS = perS() + count * 1000 / TIME_CONSTANT_MS
     }
--- a/src/main/kotlin/org/honeyjunction/io/SocketBudget.kt
+++ b/src/main/kotlin/org/honeyjunction/io/SocketBudget.kt
@@ -1,14 +1,15 @@
 package org.honeyjunction.io
 
 /**
- * Decides which connections a server keeps within its limit of [maxSockets] sockets. Thousands of workers, which may all reconnect
- * at once after a mass restart, have to leave sockets to users: idle worker connections are evicted first, and beyond half of
- * the limit workers connect anew for each heartbeat. A connection counts as a worker's once it has sent a worker's request.
+ * Decides which connections a server keeps within its limit of [maxSockets]. Thousands of workers may all reconnect at once after
+ * a mass restart, and must leave sockets for users: idle worker connections are evicted first, and while more than half of the
+ * sockets are open, a worker's connection is closed after each heartbeat. A connection counts as a worker's once it has sent a
+ * worker's request.
  */
 class SocketBudget<C : Any>(private val maxSockets: Int) {
     /** The state of an open connection. */
     enum class ConnectionState {
-        /** Accepted, and without a request so far, so that its kind is unknown. */
+        /** Accepted, but without a request so far, so that it is unknown whether a worker or a user opened it. */
         NEW,
 
         /** A request is being answered. */
@@ -17,11 +18,11 @@
         IDLE_USER,
     }
 
-    /** Whether a new connection may stay. */
+    /** Whether a new connection may stay open. */
     sealed interface Admission<out C> {
         data object Admitted : Admission<Nothing>
 
-        /** Admitted; the idle worker connection [evicted] has to be closed for it. */
+        /** Admitted; the idle worker connection [evicted] must be closed to make room. */
         data class Evicting<C>(val evicted: C) : Admission<C>
 
         data object Rejected : Admission<Nothing>
@@ -42,7 +43,7 @@
     /** The state of [connection]; null where it is not open. */
     fun stateOf(connection: C): ConnectionState? = states[connection]
 
-    /** A new connection was accepted. From three quarters of the limit on it replaces an idle worker connection. */
+    /** Called when [connection] was accepted. From three quarters of the limit on, it replaces an idle worker connection, if any. */
     fun admit(connection: C): Admission<C> {
         val evicted = if (open >= maxSockets - maxSockets / RESERVED_PART) idleWorkers.firstOrNull() else null
         if (evicted == null && open >= maxSockets) return Admission.Rejected
@@ -52,23 +53,26 @@
         return if (evicted == null) Admission.Admitted else Admission.Evicting(evicted)
     }
 
-    /** [connection] sent a request. */
+    /** Called when [connection] sent a request. */
     fun requestStarted(connection: C) = transition(connection, ConnectionState.BUSY)
 
-    /** The request of [connection], a [worker]'s or a user's, was answered. Returns whether the connection may stay open. */
+    /**
+     * Called when the request of [connection], which came from a [worker] or else from a user, was answered. Returns whether the
+     * connection may stay open.
+     */
     fun requestFinished(connection: C, worker: Boolean): Boolean {
         if (connection !in states) return false
         transition(connection, if (worker) ConnectionState.IDLE_WORKER else ConnectionState.IDLE_USER)
         return !worker || open <= maxSockets / 2
     }
 
-    /** [connection] was closed. */
+    /** Called when [connection] was closed. */
     fun closed(connection: C) {
         states.remove(connection)
         idleWorkers -= connection
     }
 
-    /** The only place that changes a standing. An evicted connection stays out, whatever its coroutine still reports. */
+    /** The only function that changes a state. An evicted connection stays removed, even if its coroutine reports events later. */
     private fun transition(connection: C, next: ConnectionState) {
         if (next != ConnectionState.NEW && connection !in states) return
         states[connection] = next
@@ -76,7 +80,7 @@
     }
 
     private companion object {
-        /** One part in so many of the limit is reserved from idle workers. */
+        /** Idle worker connections are evicted once at most one in this many sockets is free. */
         const val RESERVED_PART = 4
     }
 }
--- a/src/main/kotlin/org/honeyjunction/io/Supervise.kt
+++ b/src/main/kotlin/org/honeyjunction/io/Supervise.kt
@@ -10,8 +10,8 @@
  * Runs [block], which is expected never to return, and restarts it with exponential backoff when an unexpected exception ends
  * it. The same exception in succession is logged with its stack trace once only.
  *
- * @param name of the block, for the log
- * @param onFailure releases, before the restart, what must not be kept while the block does not run
+ * @param name name of the block, for the log
+ * @param onFailure called before the restart; releases resources that must not be held while the block is not running
  */
 fun CoroutineScope.supervise(name: String, clock: Clock, onFailure: () -> Unit = {}, block: suspend () -> Unit) =
     launch {
@@ -30,7 +30,7 @@
                 if (summary == lastLogged) {
                     log.error("{} failed again: {}", name, summary)
                 } else {
-                    log.error("{} failed and is started anew", name, e)
+                    log.error("{} failed and is restarted", name, e)
                 }
                 lastLogged = summary
                 onFailure()
--- a/src/main/kotlin/org/honeyjunction/io/TransactionBatch.kt
+++ b/src/main/kotlin/org/honeyjunction/io/TransactionBatch.kt
@@ -4,7 +4,7 @@
  * Queued transactions that are sent as one transaction of the key-value store.
  *
  * @param first the transaction that the batch begins with, whatever its size
- * @param maxWrites writes that the joined transaction may have
+ * @param maxWrites maximum number of writes in the joined transaction
  */
 internal class TransactionBatch(first: QueuedTransaction, private val maxWrites: Double) {
     private val members = arrayListOf(first)
@@ -19,7 +19,7 @@
     var writeCount = first.writes.size
         private set
 
-    /** Adds [transaction] where it [fits]; says whether it did. */
+    /** Adds [transaction] if it [fits]; returns whether it was added. */
     fun tryAdd(transaction: QueuedTransaction): Boolean {
         if (!fits(transaction)) return false
         members += transaction
@@ -47,7 +47,7 @@
     private companion object {
         const val MAX_MEMBERS = 32
 
-        /** A transaction may have 64 KiB; the rest is for the JSON around it. */
+        /** The store accepts transactions of up to 64 KiB; the rest is for the JSON around the keys and values. */
         const val MAX_BYTES = 56 * 1024
     }
 }
--- a/src/main/kotlin/org/honeyjunction/io/TransactionWriter.kt
+++ b/src/main/kotlin/org/honeyjunction/io/TransactionWriter.kt
@@ -10,7 +10,7 @@
 /**
  * Queues transactions, joins those that wait at the same time, and sends them as fast as [writeBudget] allows.
  *
- * @param maxWrites writes that a joined transaction may have
+ * @param maxWrites maximum number of writes in a joined transaction
  */
 internal class TransactionWriter(
     private val loop: EventLoop,
@@ -91,8 +91,8 @@
     }
 
     /**
-     * One failed condition fails the whole transaction: completes those that the failed conditions in [response] belong to
-     * (all of them if it names none), and returns the others, which were not written and have to be sent again.
+     * One failed condition fails the whole transaction: completes the transactions that have a failed condition
+     * named in [response] (all of them if it names none), and returns the others, which were not applied and must be sent again.
      */
     private fun completeConflicting(transactions: List<QueuedTransaction>, response: Response): List<QueuedTransaction> {
         val failedKeys = parseResponse { StateCodec.failed(response.body) }.toSet()
@@ -106,6 +106,6 @@
 
     private fun logUnknown(transactions: List<QueuedTransaction>, error: IOException) {
         val writes = transactions.flatMap { it.writes }
-        log.info("{} writes of {}: {}", writes.size, writes.joinToString { "${it.key} ${it.bytes}" }, error.message)
+        log.info("outcome unknown for {} writes ({}): {}", writes.size, writes.joinToString { "${it.key} ${it.bytes}" }, error.message)
     }
 }
--- a/src/main/kotlin/org/honeyjunction/io/WriteQueue.kt
+++ b/src/main/kotlin/org/honeyjunction/io/WriteQueue.kt
@@ -9,10 +9,10 @@
  * Running work precedes new work, and new work beyond its quota comes last.
  */
 enum class WritePriority {
-    /** Journal pages of task starts and results: starts wait for them. */
+    /** Journal pages of task starts and results: a task start waits until its page is written. */
     JOURNAL,
 
-    /** New jobs within their team's quota; their sum is below what the other priorities leave. */
+    /** New jobs within their team's quota; the quotas add up to less than the other priorities leave. */
     WITHIN_QUOTA,
 
     /** Terminal records of jobs, and everything else. */
@@ -36,7 +36,7 @@
 }
 
 /**
- * Transactions that wait for write budget, by [WritePriority] and, within one priority, in turn between lanes (teams).
+ * Transactions that wait for write budget, ordered by [WritePriority] and, within one priority, round robin between lanes (teams).
  * Write counts include transactions that were sent and have no outcome yet.
  */
 internal class WriteQueue(clock: Clock) {
@@ -81,7 +81,7 @@
         transaction.result.complete(outcome)
     }
 
-    /** Transactions queued for each priority, for the log. */
+    /** Number of queued transactions of each priority, for the log. */
     fun lengths(): String = queues.values.joinToString(" ") { "${it.size}" }
 
     private fun unfinished(priority: WritePriority) = unfinishedWrites[priority.ordinal]
@@ -89,10 +89,10 @@
     private fun nextQueue(): FairPriorityQueue<QueuedTransaction>? = queues.values.firstOrNull { !it.isEmpty() }
 
     private companion object {
-        /** Transactions queued for one priority at most. */
+        /** Maximum number of transactions queued for one priority. */
         const val MAX_TRANSACTIONS = 2_000
 
-        /** Seconds within which queued writes of running and ending work should be written. */
+        /** Seconds within which the queued writes for running and ending work should be written. */
         const val DRAIN_S = 5.0
     }
 }
--- a/src/test/kotlin/org/honeyjunction/io/KeyValueClientTest.kt
+++ b/src/test/kotlin/org/honeyjunction/io/KeyValueClientTest.kt
@@ -14,7 +14,7 @@
 import java.util.Random
 
 class KeyValueClientTest {
-    /** If they were joined, one condition would replace the other: a write decided by another version of the key would be applied. */
+    /** If the two transactions were joined, one condition would replace the other, and a write based on another version would be applied. */
     @ParameterizedTest
     @CsvSource("false, true", "true, false")
     fun `queued transactions that expect different versions of a key are not joined`(firstHolds: Boolean, secondHolds: Boolean) {
@@ -45,9 +45,9 @@
         }
     }
 
-    /** A store that takes fewer writes a second than a transaction may have would reject a full transaction for ever. */
+    /** A store that accepts fewer writes a second than a transaction may have would reject a full transaction forever. */
     @Test
-    fun `no more writes are joined than the key-value store takes at once`() {
+    fun `a joined transaction has no more writes than the key-value store accepts at once`() {
         EventLoop().use { loop ->
             val store = FakeKeyValueStore(FakeKeyValueStore.Limits(1_000.0, 8.0, 16, 4_096), Clock.steady())
             val address = StateServer(loop, store, Random(1)) { Clock.steady() }.listen()
--- a/src/test/kotlin/org/honeyjunction/io/SocketBudgetTest.kt
+++ b/src/test/kotlin/org/honeyjunction/io/SocketBudgetTest.kt
@@ -26,14 +26,14 @@
     }
 
     @Test
-    fun `idle workers are evicted, the least recently used first, users and busy connections never`() {
+    fun `idle worker connections are evicted, the least recently used first, user and busy connections never`() {
         val budget = SocketBudget<String>(4)
         for (connection in listOf("user", "busy", "worker 1")) {
             assertEquals(SocketBudget.Admission.Admitted, budget.admit(connection))
             budget.requestStarted(connection)
         }
         assertTrue(budget.requestFinished("user", worker = false))
-        assertFalse(budget.requestFinished("worker 1", worker = true), "beyond half of all")
+        assertFalse(budget.requestFinished("worker 1", worker = true), "more than half of the sockets are open")
         assertEquals("worker 1", (budget.admit("worker 2") as SocketBudget.Admission.Evicting).evicted)
         budget.requestStarted("worker 2")
         budget.requestFinished("worker 2", worker = true)
@@ -47,7 +47,7 @@
         assertEquals(null, budget.stateOf("worker 2"))
     }
 
-    /** Steps as numbers, a tenth of them for the same connection: never more than the limit, no closed connection counted. */
+    /** Each drawn number encodes one of ten connections and an event. The limit is never exceeded, and no closed connection is counted. */
     @Property(tries = 500, seed = "8")
     fun `the limit holds for every sequence of events`(
         @ForAll @Size(max = 60) drawn: List<Int>,
