--- a/src/main/kotlin/org/honeyjunction/app/local/ClusterEnvironment.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/ClusterEnvironment.kt
@@ -4,7 +4,7 @@
 import org.honeyjunction.io.EventLoop
 import org.honeyjunction.simulation.VirtualClock
 import org.honeyjunction.simulation.VirtualEventLoop
-import org.honeyjunction.simulation.VirtualNet
+import org.honeyjunction.simulation.VirtualNetwork
 import org.honeyjunction.simulation.VirtualTime
 import java.net.InetSocketAddress
 import java.net.StandardSocketOptions
@@ -52,7 +52,7 @@
 class VirtualEnvironment(seed: Long) : ClusterEnvironment {
     private val random = Random(seed)
     val time = VirtualTime()
-    private val net = VirtualNet(time, random)
+    private val net = VirtualNetwork(time, random)
 
     /** What processes did that nobody expected. */
     val failures = ArrayList<Throwable>()
@@ -72,10 +72,15 @@
         return VirtualEventLoop(name, net, clock) { failures += it }
     }
 
-    override fun addresses(count: Int): List<String> = List(count) { net.address() }
+    override fun addresses(count: Int): List<String> = List(count) { net.newAddress() }
 
     override fun cut(name: String, from: (String) -> Boolean, forMs: Long): Boolean {
-        net.cutBetween(name, from, VirtualNet.Cut.entries[random.nextInt(VirtualNet.Cut.entries.size)], forMs)
+        net.partitionBetween(
+            name,
+            from,
+            VirtualNetwork.PartitionMode.entries[random.nextInt(VirtualNetwork.PartitionMode.entries.size)],
+            forMs,
+        )
         return true
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/local/VirtualScenario.kt
+++ b/src/main/kotlin/org/honeyjunction/app/local/VirtualScenario.kt
@@ -14,7 +14,7 @@
         val ticker = Ticker(System.console() != null, ::println) { it }
         val planned = jobs ?: Scenario.jobs(machines, setup)
         val scenario = Scenario(setup, machines, seed, planned, faults) { at, what -> ticker.show("%7.1f s  %s".format(at / 1000.0, what)) }
-        scenario.play(withinS * 1_000L)
+        scenario.run(withinS * 1_000L)
         ticker.end()
         print(scenario)
         val passed = scenario.cluster.broken.isEmpty() && scenario.unfinished().isEmpty()
@@ -26,7 +26,7 @@
         printServiceLevels(scenario)
         cluster.broken.forEach { println("BROKEN  $it") }
         println(
-            "${scenario.done} jobs done, ${scenario.unfinished().size} without a final answer; ${cluster.started} starts, " +
+            "${scenario.doneCount} jobs done, ${scenario.unfinished().size} without a final answer; ${cluster.started} starts, " +
                 "${cluster.broken.size} rules broken or stalls; virtual time ${cluster.now / 1000} s",
         )
     }
@@ -34,7 +34,7 @@
     private fun printServiceLevels(scenario: Scenario) {
         val levels = scenario.serviceLevels
         val header = listOf("", "median", "nine in ten", "most")
-        val waits = JobKind.entries.map { kind -> listOf(waitTitle(kind)) + levels.waits(kind).map(::seconds) }
+        val waits = JobKind.entries.map { kind -> listOf(waitTitle(kind)) + levels.waitQuantiles(kind).map(::seconds) }
         println(Outcome.table(listOf(header) + waits))
         val availability = levels.availability() * 100
         val worst = levels.worstAvailability(WORST_S) * 100
@@ -43,7 +43,7 @@
             "money %.2f, accelerators in use while paid for %.1f%%; %d machines rented, %d given back".format(
                 levels.spent,
                 levels.utilization * 100,
-                scenario.cluster.cloud.rentedInAll,
+                scenario.cluster.cloud.totalRented,
                 scenario.cluster.cloud.releases,
             ),
         )
--- a/src/main/kotlin/org/honeyjunction/simulation/EffectExecutor.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/EffectExecutor.kt
@@ -11,7 +11,7 @@
     var lateWrites = 0
         private set
 
-    private enum class WriteFate { LATE, UNANSWERED, ANSWERED }
+    private enum class WriteDelivery { LATE, UNANSWERED, ANSWERED }
 
     fun execute(controller: SimulatedController, effect: Effect) {
         when (effect) {
@@ -19,7 +19,7 @@
             is Effect.Send -> workers.send(controller, effect)
             is Effect.ScaleOut -> context.after(CLOUD_LATENCY_MS) { cloud.scaleOut(controller, effect) }
             is Effect.ScaleIn -> {
-                val delay = if (controller.cutOff) context.partitionDelay() else CLOUD_LATENCY_MS
+                val delay = if (controller.isolated) context.partitionDelay() else CLOUD_LATENCY_MS
                 context.after(delay) { cloud.scaleIn(controller, effect) }
             }
             is Effect.ReadJobRecord -> context.after(READ_MS) { readJobRecord(controller, effect.job) }
@@ -31,44 +31,44 @@
     }
 
     private fun readJobRecord(controller: SimulatedController, job: String) {
-        val record = if (controller.cutOff) JobRecord.Unread else context.state.record(job)
+        val record = if (controller.isolated) JobRecord.Unread else context.state.record(job)
         controller.run { jobRecordRead(job, record, context.now) }
     }
 
     /** A write is answered, or its response is lost, or it is delayed and applied late if its conditions still hold. */
     private fun commit(controller: SimulatedController, effect: Effect.Commit) {
-        if (controller.cutOff) return context.after(context.partitionDelay()) { apply(controller, effect) }
+        if (controller.isolated) return context.after(context.partitionDelay()) { apply(controller, effect) }
         if (controller.refused) return context.after(RETRY_MS) { commit(controller, effect) }
-        val fate = fateOf(effect)
-        if (fate == WriteFate.LATE) {
+        val delivery = drawDelivery(effect)
+        if (delivery == WriteDelivery.LATE) {
             context.after(3_000L + context.random.nextInt(5_000)) {
                 lateWrites++
                 apply(controller, effect)
             }
         }
         context.after(context.latency()) {
-            val version = if (fate == WriteFate.LATE) null else apply(controller, effect)
-            val answered = version?.takeIf { fate == WriteFate.ANSWERED && !context.network.writeResponseLost(effect.changes) }
-            context.after(if (answered != null) context.latency() else READ_MS) { conclude(controller, effect, answered) }
+            val version = if (delivery == WriteDelivery.LATE) null else apply(controller, effect)
+            val answered = version?.takeIf { delivery == WriteDelivery.ANSWERED && !context.network.writeResponseLost(effect.changes) }
+            context.after(if (answered != null) context.latency() else READ_MS) { reportOutcome(controller, effect, answered) }
         }
     }
 
     /** Terminal records always arrive; of other writes, one in fifty is late and one in fifty unanswered even without faults. */
-    private fun fateOf(effect: Effect.Commit): WriteFate {
-        if (effect.changes.any { it is Change.JobFinished }) return WriteFate.ANSWERED
-        if (context.happens(context.network.lateWritePercent)) return WriteFate.LATE
-        if (context.happens(context.network.unansweredWritePercent)) return WriteFate.UNANSWERED
+    private fun drawDelivery(effect: Effect.Commit): WriteDelivery {
+        if (effect.changes.any { it is Change.JobFinished }) return WriteDelivery.ANSWERED
+        if (context.happens(context.network.lateWritePercent)) return WriteDelivery.LATE
+        if (context.happens(context.network.unansweredWritePercent)) return WriteDelivery.UNANSWERED
         return when (context.random.nextInt(50)) {
-            0 -> WriteFate.LATE
-            1 -> WriteFate.UNANSWERED
-            else -> WriteFate.ANSWERED
+            0 -> WriteDelivery.LATE
+            1 -> WriteDelivery.UNANSWERED
+            else -> WriteDelivery.ANSWERED
         }
     }
 
     private fun apply(controller: SimulatedController, effect: Effect.Commit): Long? = context.state.commit(controller.term, effect.changes)
 
     /** [version]: of the response that arrived; null where there is none, so that the written page has to be read. */
-    private fun conclude(controller: SimulatedController, effect: Effect.Commit, version: Long?) {
+    private fun reportOutcome(controller: SimulatedController, effect: Effect.Commit, version: Long?) {
         if (controller.term != context.state.term) {
             controller.alive = false
         } else if (version != null) {
--- a/src/main/kotlin/org/honeyjunction/simulation/FakeStateService.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/FakeStateService.kt
@@ -23,7 +23,7 @@
     val jobs = LinkedHashMap<String, StoredJob>()
 
     /** Terminal records of jobs. */
-    val finals = HashMap<String, StoredJob>()
+    val terminalRecords = HashMap<String, StoredJob>()
     private var leaderCheckpoint = LeaderCheckpoint()
     private val machineCheckpoints = HashMap<Int, List<MachineCheckpoint>>()
 
@@ -54,7 +54,7 @@
             is Change.Checkpoint -> leaderCheckpoint = change.checkpoint
             is Change.JobFinished -> {
                 val stage = if (change.cancelled) JobStage.CANCELLED else JobStage.DONE
-                finals[change.job] = jobs.remove(change.job)!!.copy(stage = stage)
+                terminalRecords[change.job] = jobs.remove(change.job)!!.copy(stage = stage)
             }
         }
     }
@@ -69,7 +69,7 @@
     fun record(id: String): JobRecord {
         if (down) return JobRecord.Unread
         jobs[id]?.let { return JobRecord.Active(it.version) }
-        val final = finals[id] ?: return JobRecord.Absent
+        val final = terminalRecords[id] ?: return JobRecord.Absent
         return JobRecord.Finished(final.stage == JobStage.CANCELLED)
     }
 
@@ -77,7 +77,7 @@
     fun recovered(): RecoveredState {
         val records = pages.values.map { it.first }
         val namedByPages = records.flatMap { record -> record.starts.map { it.job } }.toSet()
-        val ended = (namedByPages - jobs.keys).mapNotNull(finals::get)
+        val ended = (namedByPages - jobs.keys).mapNotNull(terminalRecords::get)
         return RecoveredState(jobs.values + ended, records, machineCheckpoints.values.flatten(), leaderCheckpoint)
     }
 }
--- a/src/main/kotlin/org/honeyjunction/simulation/FaultScenarios.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/FaultScenarios.kt
@@ -22,8 +22,8 @@
     }
     network.reachesController = sameSide
     network.reachesWorker = sameSide
-    cutOff()
-    after(forMs) { inside.cutOff = false }
+    isolateLeader()
+    after(forMs) { inside.isolated = false }
 }
 
 /** The leader ends; another is elected after its lease, but not before the state service is up. */
@@ -33,7 +33,7 @@
     fun electWhenPossible() {
         if (state.down) after(200) { electWhenPossible() } else elect()
     }
-    after(SimulatedCluster.LEASE) { electWhenPossible() }
+    after(SimulatedCluster.LEADER_LEASE_MS) { electWhenPossible() }
 }
 
 /** Calls [observer] with every start from now on, after those that were registered before. */
--- a/src/main/kotlin/org/honeyjunction/simulation/FleetJobs.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/FleetJobs.kt
@@ -14,7 +14,7 @@
     private val teams = setup.limits.keys.toList()
 
     /** A third of the jobs come at the start, the rest within a minute and a half. */
-    fun of(machines: Int): List<PlannedJob> {
+    fun jobsFor(machines: Int): List<PlannedJob> {
         var number = 0
         val services = List(machines / 8) { job(++number, JobKind.SERVICE, 4, oneGpu, Priority.PRODUCTION, FOREVER_S) }
         val gangs = List(machines / 12) { job(++number, JobKind.GANG, 1 + it % 3, machine, Priority.HIGH, 60.0 + it % 40) }
--- a/src/main/kotlin/org/honeyjunction/simulation/Scenario.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/Scenario.kt
@@ -49,7 +49,7 @@
         }
 
     /** Runs until all jobs but services have ended, a rule is broken, or [withinMs] have passed. */
-    fun play(withinMs: Long) {
+    fun run(withinMs: Long) {
         val lastSubmittedAt = planned.maxOfOrNull { it.atMs } ?: 0
         while (cluster.now < withinMs && cluster.broken.isEmpty()) {
             cluster.run(1_000)
@@ -65,19 +65,19 @@
         val silent = workers.count { it.silent(now) || now < it.cutUntil }
         val running = workers.filter { it.holds(now) }.sumOf { worker -> worker.tasks.values.count { it.live } }
         return "machines ${workers.size}, silent $silent, tasks on machines $running, jobs ${cluster.state.jobs.size} active, " +
-            "${cluster.state.finals.size} over, rented ${cluster.cloud.rentedInAll}, given back ${cluster.cloud.releases}"
+            "${cluster.state.terminalRecords.size} over, rented ${cluster.cloud.totalRented}, given back ${cluster.cloud.releases}"
     }
 
     /** The jobs without a final answer, but for services; those not submitted yet count, whatever their kind. */
     fun unfinished(): List<String> {
         val specs = planned.map { it.work.spec }
-        val active = specs.filter { it.kind != JobKind.SERVICE && it.id !in cluster.state.finals && it.id in cluster.state.jobs }
+        val active = specs.filter { it.kind != JobKind.SERVICE && it.id !in cluster.state.terminalRecords && it.id in cluster.state.jobs }
         val notSubmitted = planned.filter { it.atMs > cluster.now }.map { it.work.spec }
         return (active + notSubmitted).map { it.id }
     }
 
     /** Number of jobs that ended successfully. */
-    val done get() = cluster.state.finals.values.count { it.stage == JobStage.DONE }
+    val doneCount get() = cluster.state.terminalRecords.values.count { it.stage == JobStage.DONE }
 
     companion object {
         private const val GRACE_MS = 45_000L
@@ -87,6 +87,6 @@
         private const val SETTLE_MS = 60_000L
 
         /** See [FleetJobs]. */
-        fun jobs(machines: Int, setup: ClusterSetup): List<PlannedJob> = FleetJobs(setup).of(machines)
+        fun jobs(machines: Int, setup: ClusterSetup): List<PlannedJob> = FleetJobs(setup).jobsFor(machines)
     }
 }
--- a/src/main/kotlin/org/honeyjunction/simulation/ScenarioFaults.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/ScenarioFaults.kt
@@ -30,7 +30,7 @@
     /** One leader acts here at a time: whichever node is meant, its successor is elected when its lease has expired. */
     private fun injectIntoLeader(fault: Fault) =
         when (fault.what) {
-            Fault.What.REFUSE, Fault.What.ISOLATE -> cluster.cutOff()
+            Fault.What.REFUSE, Fault.What.ISOLATE -> cluster.isolateLeader()
             Fault.What.HANG -> cluster.freeze(fault.forMs)
             else -> cluster.crash()
         }
--- a/src/main/kotlin/org/honeyjunction/simulation/ServiceLevelRecorder.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/ServiceLevelRecorder.kt
@@ -37,7 +37,7 @@
     fun sample() {
         val held = cluster.workers.values.filter { it.holds(cluster.now) }
         val running = held.flatMap { worker -> worker.tasks.values.filter { it.state == TaskState.Running } }
-        noteStarts()
+        recordStarts()
         sampleReplicas(running.groupingBy { it.spec.id }.eachCount())
         val (ordinary, spot) = cluster.cloud.paid()
         spent += (ordinary * type.price + spot * type.spotPrice) / SECONDS_PER_HOUR
@@ -45,7 +45,7 @@
         usedGpuS += running.sumOf { it.spec.need.gpus }
     }
 
-    private fun noteStarts() {
+    private fun recordStarts() {
         for (job in jobs) {
             if (job.startedAt != null) continue
             val allStarted = (0 until job.spec.tasks).all { "${job.spec.id}/$it" in cluster.history.starts }
@@ -71,7 +71,7 @@
     }
 
     /** Seconds until all tasks of a job of [kind] had started: the median, nine in ten, the most; null where one never did. */
-    fun waits(kind: JobKind): List<Double?> {
+    fun waitQuantiles(kind: JobKind): List<Double?> {
         val waits = jobs.filter { it.spec.kind == kind }.map(::waitS).sorted()
         if (waits.isEmpty()) return listOf(null, null, null)
         val quantiles = listOf(waits[waits.size / 2], waits[waits.size * 9 / 10], waits.last())
--- a/src/main/kotlin/org/honeyjunction/simulation/SimulatedCloud.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/SimulatedCloud.kt
@@ -23,8 +23,8 @@
     var bootFailsOneIn = 0
 
     /** Lists are up to twice as old as they usually are, and may arrive in any order. */
-    var listsLag = false
-    var rentedInAll = 0
+    var extraListLag = false
+    var totalRented = 0
         private set
     var releases = 0
         private set
@@ -50,7 +50,7 @@
     /** A repeated request is idempotent: it gets the machines of the first one. One response in ten is lost. */
     fun scaleOut(controller: SimulatedController, effect: Effect.ScaleOut) {
         if (down) return controller.run { scaleOutOutcomeUnknown(effect.request, context.now) }
-        val names = rentals.getOrPut(effect.request) { newNames(effect.count) }
+        val names = rentals.getOrPut(effect.request) { newMachineNames(effect.count) }
         for (name in names) if (name !in context.workers && name !in booting) boot(name, effect)
         val responseLost = context.random.nextInt(10) == 0
         controller.run {
@@ -62,10 +62,10 @@
         }
     }
 
-    private fun newNames(count: Int): List<String> {
+    private fun newMachineNames(count: Int): List<String> {
         val free = capacity - context.workers.size - booting.size
         val names = List(minOf(free, count).coerceAtLeast(0)) { "vm-%05d".format(++lastName) }
-        rentedInAll += names.size
+        totalRented += names.size
         return names
     }
 
@@ -98,7 +98,7 @@
         val notUp = booting.map { (name, machine) -> ListedMachine(name, null, type, machine.zone, machine.spot, false, 1.0) }
         val machines = up + notUp
         val lagMs = context.setup.listLagMs
-        val extraMs = if (listsLag) context.random.nextInt(lagMs.toInt()) else 0
+        val extraMs = if (extraListLag) context.random.nextInt(lagMs.toInt()) else 0
         context.after(lagMs + extraMs) { controller.run { machinesListed(machines, context.now) } }
     }
 
--- a/src/main/kotlin/org/honeyjunction/simulation/SimulatedCluster.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/SimulatedCluster.kt
@@ -89,27 +89,27 @@
     /** The leader ends, and another takes the term when its lease has expired. */
     fun crash() {
         leader?.alive = false
-        after(LEASE) { elect() }
+        after(LEADER_LEASE_MS) { elect() }
     }
 
     /**
      * The leader reaches neither the state service nor the cloud nor other controllers; its workers stay with it as long as
      * it answers them.
      */
-    fun cutOff() {
-        leader?.cutOff = true
-        after(LEASE) { elect() }
+    fun isolateLeader() {
+        leader?.isolated = true
+        after(LEADER_LEASE_MS) { elect() }
     }
 
     /** The leader's process is suspended for [forMs]; another takes the term when its lease has expired. */
     fun freeze(forMs: Long) {
         val frozen = leader ?: return
         frozen.frozenUntil = now + forMs
-        if (forMs > LEASE) after(LEASE + 400) { if (frozen === leader && !state.down) elect() }
+        if (forMs > LEADER_LEASE_MS) after(LEADER_LEASE_MS + 400) { if (frozen === leader && !state.down) elect() }
     }
 
     /** All machines of [zone] that are up lose the network together. */
-    fun cut(zone: String, forMs: Long) = machinesUpIn(zone).forEach { it.cutUntil = now + forMs }
+    fun disconnectZone(zone: String, forMs: Long) = machinesUpIn(zone).forEach { it.cutUntil = now + forMs }
 
     /** The names of the machines of [zone] that are up. */
     fun machinesIn(zone: String): Set<String> = machinesUpIn(zone).mapTo(HashSet()) { it.name }
@@ -117,7 +117,7 @@
     private fun machinesUpIn(zone: String) = workers.values.filter { it.box.zone == zone && !it.dead }
 
     /** Number of running tasks of the job on machines whose lease is valid. */
-    fun running(id: String): Int =
+    fun runningTaskCount(id: String): Int =
         workers.values.filter { it.holds(now) }.sumOf { worker ->
             worker.tasks.values.count { it.live && it.spec.id == id && it.state == TaskState.Running }
         }
@@ -172,7 +172,7 @@
 
     companion object {
         /** Of the leader, in the state service; milliseconds. */
-        const val LEASE = 5_000L
+        const val LEADER_LEASE_MS = 5_000L
         private const val STEP_MS = 20L
         private const val LIST_MS = 3_000L
     }
--- a/src/main/kotlin/org/honeyjunction/simulation/SimulatedController.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/SimulatedController.kt
@@ -16,7 +16,7 @@
     var reachable = true
 
     /** Reaches neither the other controllers nor the state service nor the cloud; what it sends to these two arrives late. */
-    var cutOff = false
+    var isolated = false
 
     /** The state service refuses this controller alone, which reaches all others. */
     var refused = false
@@ -36,7 +36,7 @@
             context.setup.listLagMs,
             rules,
             listOf(PEER),
-        ).also { it.leaderLeaseRenewed(context.now + SimulatedCluster.LEASE, context.now) }
+        ).also { it.leaderLeaseRenewed(context.now + SimulatedCluster.LEADER_LEASE_MS, context.now) }
 
     /** The process is suspended until then while its clocks run on: what happens meanwhile is handled afterwards, in order. */
     var frozenUntil = 0L
@@ -53,9 +53,9 @@
     fun tick() {
         if (!alive) return
         if (context.now < frozenUntil) return context.after(frozenUntil - context.now) { tick() }
-        val renews = this === context.leader && !context.state.down && !cutOff && !refused
-        if (renews) leader.leaderLeaseRenewed(context.now + SimulatedCluster.LEASE, context.now)
-        if (!cutOff && context.now % PEER_CONFIRMATION_MS < TICK_MS) confirmByPeers()
+        val renews = this === context.leader && !context.state.down && !isolated && !refused
+        if (renews) leader.leaderLeaseRenewed(context.now + SimulatedCluster.LEADER_LEASE_MS, context.now)
+        if (!isolated && context.now % PEER_CONFIRMATION_MS < TICK_MS) confirmByPeers()
         run { tick(context.now) }
         context.after(TICK_MS) { tick() }
     }
--- a/src/main/kotlin/org/honeyjunction/simulation/SimulatedUsers.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/SimulatedUsers.kt
@@ -18,7 +18,7 @@
 
     /** The user repeats the cancellation until it is confirmed, whoever leads. */
     fun cancelUntilConfirmed(id: String) {
-        when (context.state.finals[id]?.stage) {
+        when (context.state.terminalRecords[id]?.stage) {
             JobStage.CANCELLED -> context.history.cancelledAt.putIfAbsent(id, context.now)
             JobStage.DONE -> Unit
             else -> {
@@ -30,7 +30,7 @@
 
     /** What the tasks of the job do on their machines; null: no such job. */
     fun workOf(id: String): Work? {
-        val job = context.state.jobs[id] ?: context.state.finals[id] ?: return null
+        val job = context.state.jobs[id] ?: context.state.terminalRecords[id] ?: return null
         return Work(job.spec, job.spec.estimateS, fails = job.spec.jobClass == FAULTY_CLASS)
     }
 
--- a/src/main/kotlin/org/honeyjunction/simulation/VirtualEventLoop.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/VirtualEventLoop.kt
@@ -18,12 +18,12 @@
 
 /** A process's clocks: its steady one starts anywhere and runs a little fast or slow, its time of day is off by [skewMs]. */
 class VirtualClock(private val time: VirtualTime, private val drift: Double = 0.0, private val skewMs: Long = 0) : Clock {
-    override fun steady() = STARTED_MS + (time.now * (1 + drift)).toLong()
+    override fun steady() = STEADY_ORIGIN_MS + (time.now * (1 + drift)).toLong()
 
     override fun wall() = EPOCH_MS + time.now + skewMs
 
     private companion object {
-        const val STARTED_MS = 1_000_000L
+        const val STEADY_ORIGIN_MS = 1_000_000L
         const val EPOCH_MS = 1_764_630_000_000L
     }
 }
@@ -35,43 +35,43 @@
 @OptIn(InternalCoroutinesApi::class)
 class VirtualEventLoop private constructor(
     private val name: String,
-    private val net: VirtualNet,
+    private val net: VirtualNetwork,
     override val clock: Clock,
     private val process: Process,
 ) : EventLoop {
     constructor(
         name: String,
-        net: VirtualNet,
+        net: VirtualNetwork,
         clock: Clock = VirtualClock(net.time),
-        failed: (Throwable) -> Unit,
-    ) : this(name, net, clock, Process(net.time, failed))
+        onFailure: (Throwable) -> Unit,
+    ) : this(name, net, clock, Process(net.time, onFailure))
 
     /** What several names of one process share. */
-    private class Process(private val time: VirtualTime, failed: (Throwable) -> Unit) :
+    private class Process(private val time: VirtualTime, onFailure: (Throwable) -> Unit) :
         CoroutineDispatcher(),
         Delay {
         var dead = false
         var frozenUntil = 0L
-        val scope = CoroutineScope(SupervisorJob() + this + CoroutineExceptionHandler { _, e -> failed(e) })
+        val scope = CoroutineScope(SupervisorJob() + this + CoroutineExceptionHandler { _, e -> onFailure(e) })
 
-        private fun at(moment: Long, run: () -> Unit): () -> Unit = time.at(moment) { whenAwake(run) }
+        private fun schedule(moment: Long, run: () -> Unit): () -> Unit = time.schedule(moment) { runUnlessFrozen(run) }
 
-        private fun whenAwake(run: () -> Unit) {
+        private fun runUnlessFrozen(run: () -> Unit) {
             if (dead) return
-            if (time.now < frozenUntil) time.at(frozenUntil) { whenAwake(run) } else run()
+            if (time.now < frozenUntil) time.schedule(frozenUntil) { runUnlessFrozen(run) } else run()
         }
 
         override fun dispatch(context: CoroutineContext, block: Runnable) {
-            at(time.now) { block.run() }
+            schedule(time.now) { block.run() }
         }
 
         override fun scheduleResumeAfterDelay(timeMillis: Long, continuation: CancellableContinuation<Unit>) {
-            val cancel = at(time.now + maxOf(timeMillis, 0)) { with(continuation) { resumeUndispatched(Unit) } }
+            val cancel = schedule(time.now + maxOf(timeMillis, 0)) { with(continuation) { resumeUndispatched(Unit) } }
             continuation.disposeOnCancellation(DisposableHandle { cancel() })
         }
 
         override fun invokeOnTimeout(timeMillis: Long, block: Runnable, context: CoroutineContext): DisposableHandle {
-            val cancel = at(time.now + maxOf(timeMillis, 0)) { block.run() }
+            val cancel = schedule(time.now + maxOf(timeMillis, 0)) { block.run() }
             return DisposableHandle { cancel() }
         }
     }
@@ -91,6 +91,6 @@
     /** As a process that is killed: its connections are reset by its machine. */
     override fun close() {
         process.dead = true
-        net.reset(name)
+        net.closeAll(name)
     }
 }
--- a/src/main/kotlin/org/honeyjunction/simulation/VirtualNetwork.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/VirtualNetwork.kt
@@ -15,46 +15,48 @@
  * Connections in virtual time between whoever has a name. A way from one name to another can be cut for a while, in either
  * of three forms.
  */
-class VirtualNet(val time: VirtualTime, private val random: Random) {
-    enum class Cut {
+class VirtualNetwork(val time: VirtualTime, private val random: Random) {
+    enum class PartitionMode {
         /** Packets are held back and delivered in order afterwards, whoever still waits for them. */
-        HOLD,
+        DELAY,
 
         /** Connections are reset and new ones refused. */
-        REFUSE,
+        RESET,
 
         /** What is sent is lost, and with it all that the same connection would have carried later. */
-        LOSE,
+        DROP,
     }
 
-    private class Rule(val from: (String) -> Boolean, val to: (String) -> Boolean, val cut: Cut, val until: Long)
+    private class PartitionRule(val from: (String) -> Boolean, val to: (String) -> Boolean, val mode: PartitionMode, val until: Long)
 
-    private val rules = ArrayList<Rule>()
+    private val rules = ArrayList<PartitionRule>()
     private val listeners = HashMap<String, VirtualListener>()
     private val open = LinkedHashSet<VirtualConnection>()
-    private var ports = FIRST_PORT
+    private var nextPort = FIRST_PORT
 
     /** The one way from those whom [from] means to those whom [to] means. */
-    fun cut(from: (String) -> Boolean, to: (String) -> Boolean, cut: Cut, forMs: Long) {
-        rules += Rule(from, to, cut, time.now + forMs)
-        if (cut == Cut.REFUSE) open.filter { from(it.here) && to(it.there) || from(it.there) && to(it.here) }.forEach { it.reset() }
+    fun partition(from: (String) -> Boolean, to: (String) -> Boolean, mode: PartitionMode, forMs: Long) {
+        rules += PartitionRule(from, to, mode, time.now + forMs)
+        if (mode == PartitionMode.RESET) {
+            open.filter { from(it.localName) && to(it.remoteName) || from(it.remoteName) && to(it.localName) }.forEach { it.reset() }
+        }
     }
 
     /** Both ways between [one] and [others]. */
-    fun cutBetween(one: String, others: (String) -> Boolean, cut: Cut, forMs: Long) {
-        cut({ it == one }, others, cut, forMs)
-        cut(others, { it == one }, cut, forMs)
+    fun partitionBetween(one: String, others: (String) -> Boolean, mode: PartitionMode, forMs: Long) {
+        partition({ it == one }, others, mode, forMs)
+        partition(others, { it == one }, mode, forMs)
     }
 
-    private fun rule(from: String, to: String): Rule? {
+    private fun ruleFor(from: String, to: String): PartitionRule? {
         rules.removeIf { it.until <= time.now }
         return rules.lastOrNull { it.from(from) && it.to(to) }
     }
 
-    fun address(): String = "127.0.0.1:${ports++}"
+    fun newAddress(): String = "127.0.0.1:${nextPort++}"
 
     fun listen(name: String, address: String): Listener {
-        val at = if (address.endsWith(":0")) address() else address
+        val at = if (address.endsWith(":0")) newAddress() else address
         if (listeners[at]?.isOpen == true) throw IOException("$at is taken")
         return VirtualListener(name, at).also { listeners[at] = it }
     }
@@ -64,129 +66,129 @@
             delay(latency())
             val listener = listeners[address]?.takeIf { it.isOpen } ?: throw IOException("Connection refused")
             // The first packet and its answer must both get through; held or lost ones are sent again.
-            val rule = rule(from, listener.name) ?: rule(listener.name, from)
-            if (rule?.cut == Cut.REFUSE) throw IOException("Connection refused")
+            val rule = ruleFor(from, listener.name) ?: ruleFor(listener.name, from)
+            if (rule?.mode == PartitionMode.RESET) throw IOException("Connection refused")
             if (rule != null) {
-                delay(AGAIN_MS)
+                delay(RETRY_MS)
                 continue
             }
-            val here = VirtualConnection(from, listener.name)
-            val there = VirtualConnection(listener.name, from)
-            here.other = there
-            there.other = here
-            open += here
-            open += there
-            listener.offer(there)
-            return here
+            val local = VirtualConnection(from, listener.name)
+            val remote = VirtualConnection(listener.name, from)
+            local.peer = remote
+            remote.peer = local
+            open += local
+            open += remote
+            listener.offer(remote)
+            return local
         }
     }
 
     /** All connections and listeners of [name] are gone. */
-    fun reset(name: String) {
+    fun closeAll(name: String) {
         listeners.values.filter { it.name == name }.forEach { it.close() }
-        open.filter { it.here == name }.forEach { it.close() }
+        open.filter { it.localName == name }.forEach { it.close() }
     }
 
     private fun latency() = 1L + random.nextInt(3)
 
     inner class VirtualListener(val name: String, override val address: String) : Listener {
-        private val offered = ArrayDeque<VirtualConnection>()
+        private val pending = ArrayDeque<VirtualConnection>()
         private var waiting: CancellableContinuation<Connection>? = null
         override var isOpen = true
             private set
 
-        fun offer(link: VirtualConnection) {
+        fun offer(connection: VirtualConnection) {
             val next = waiting
             waiting = null
-            if (next == null || !next.isActive) offered += link else next.resume(link)
+            if (next == null || !next.isActive) pending += connection else next.resume(connection)
         }
 
-        override suspend fun accept(): Connection = offered.removeFirstOrNull() ?: suspendCancellableCoroutine { waiting = it }
+        override suspend fun accept(): Connection = pending.removeFirstOrNull() ?: suspendCancellableCoroutine { waiting = it }
 
         override fun close() {
             isOpen = false
-            offered.forEach { it.close() }
-            offered.clear()
+            pending.forEach { it.close() }
+            pending.clear()
         }
     }
 
-    inner class VirtualConnection(val here: String, val there: String) : Connection {
-        lateinit var other: VirtualConnection
-        private val arrived = ArrayDeque<ByteArray>()
-        private var at = 0
-        private var ended = false
-        private var broken = false
+    inner class VirtualConnection(val localName: String, val remoteName: String) : Connection {
+        lateinit var peer: VirtualConnection
+        private val received = ArrayDeque<ByteArray>()
+        private var readOffset = 0
+        private var endOfStream = false
+        private var wasReset = false
         private var closed = false
         private var reader: CancellableContinuation<Int>? = null
-        private var into: ByteBuffer? = null
+        private var readBuffer: ByteBuffer? = null
 
         /** On its way to the other end, in order; it moves on when the way is open. */
         private val outgoing = ArrayDeque<ByteArray?>()
-        private var lost = false
-        private var moving = false
+        private var dropping = false
+        private var deliveryScheduled = false
 
         override suspend fun read(buffer: ByteBuffer): Int {
-            if (closed || broken) throw IOException("closed")
-            take(buffer)?.let { return it }
+            if (closed || wasReset) throw IOException("closed")
+            readReceived(buffer)?.let { return it }
             return suspendCancellableCoroutine { continuation ->
                 reader = continuation
-                into = buffer
+                readBuffer = buffer
                 continuation.invokeOnCancellation { close() }
             }
         }
 
-        private fun take(buffer: ByteBuffer): Int? {
-            val bytes = arrived.firstOrNull() ?: return if (ended) -1 else null
-            val count = minOf(buffer.remaining(), bytes.size - at)
-            buffer.put(bytes, at, count)
-            at += count
-            if (at == bytes.size) {
-                arrived.removeFirst()
-                at = 0
+        private fun readReceived(buffer: ByteBuffer): Int? {
+            val bytes = received.firstOrNull() ?: return if (endOfStream) -1 else null
+            val count = minOf(buffer.remaining(), bytes.size - readOffset)
+            buffer.put(bytes, readOffset, count)
+            readOffset += count
+            if (readOffset == bytes.size) {
+                received.removeFirst()
+                readOffset = 0
             }
             return count
         }
 
-        private fun wake() {
+        private fun resumeReader() {
             val waiting = reader ?: return
-            val buffer = into ?: return
-            if (broken) {
+            val buffer = readBuffer ?: return
+            if (wasReset) {
                 reader = null
                 if (waiting.isActive) waiting.resumeWithException(IOException("Connection reset"))
                 return
             }
             if (!waiting.isActive) return
-            val count = take(buffer) ?: return
+            val count = readReceived(buffer) ?: return
             reader = null
             waiting.resume(count)
         }
 
         override suspend fun write(bytes: ByteArray) {
-            if (closed || broken) throw IOException("closed")
+            if (closed || wasReset) throw IOException("closed")
             if (bytes.isNotEmpty()) send(bytes)
         }
 
         private fun send(bytes: ByteArray?) {
             outgoing += bytes
-            if (moving) return
-            moving = true
-            time.at(time.now + latency(), ::move)
+            if (deliveryScheduled) return
+            deliveryScheduled = true
+            time.schedule(time.now + latency(), ::deliver)
         }
 
-        private fun move() {
-            val rule = rule(here, there)
-            if (rule?.cut == Cut.HOLD) {
-                time.at(minOf(rule.until, time.now + AGAIN_MS), ::move)
+        private fun deliver() {
+            val rule = ruleFor(localName, remoteName)
+            if (rule?.mode == PartitionMode.DELAY) {
+                time.schedule(minOf(rule.until, time.now + RETRY_MS), ::deliver)
                 return
             }
-            if (rule != null) lost = true
+            if (rule != null) dropping = true
             while (outgoing.isNotEmpty()) {
                 val bytes = outgoing.removeFirst()
-                if (lost) continue
-                if (bytes == null) other.ended = true else other.arrived += bytes
+                if (dropping) continue
+                if (bytes == null) peer.endOfStream = true else peer.received += bytes
             }
-            moving = false
-            if (!lost) other.wake()
+            deliveryScheduled = false
+            if (!dropping) peer.resumeReader()
         }
 
         override fun close() {
@@ -197,14 +199,14 @@
         }
 
         fun reset() {
-            broken = true
+            wasReset = true
             open -= this
-            wake()
+            resumeReader()
         }
     }
 
     private companion object {
         const val FIRST_PORT = 20_000
-        const val AGAIN_MS = 200L
+        const val RETRY_MS = 200L
     }
 }
--- a/src/main/kotlin/org/honeyjunction/simulation/WorkConservationChecker.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/WorkConservationChecker.kt
@@ -7,17 +7,17 @@
 import org.honeyjunction.fake.FakeWorker
 
 /**
- * No job may wait for more than [MOST_MS] while machines that fit have room and its team is under its limit. Judged by the
+ * No job may wait for more than [MAX_WAIT_MS] while machines that fit have room and its team is under its limit. Judged by the
  * tasks that really are on the machines, so that a leader's wrong belief about them shows. In difference to
  * `fake.WorkConservationCheck` it takes the jobs as the leader has them, and a change meanwhile does not begin the wait anew.
  */
-class WorkConservationChecker(private val limits: Map<String, Resources>, private val note: (Long, String) -> Unit) {
+class WorkConservationChecker(private val limits: Map<String, Resources>, private val reportViolation: (Long, String) -> Unit) {
     private class Running(val worker: FakeWorker, val task: FakeWorker.Task)
 
     private val waitingSince = HashMap<String, Long>()
 
     fun check(jobs: Collection<Job>, workers: Collection<FakeWorker>, now: Long) {
-        val sound = workers.filter { isSound(it, now) }
+        val healthyWorkers = workers.filter { isHealthy(it, now) }
         val live = workers.filter { it.holds(now) }.flatMap { worker -> worker.tasks.values.filter { it.live }.map { Running(worker, it) } }
         val usedByTeam =
             live.groupBy { it.task.spec.team }.mapValues { (_, ofTeam) ->
@@ -27,17 +27,17 @@
         val startable =
             jobs.filter { job ->
                 val used = usedByTeam[job.spec.team] ?: Resources.NONE
-                !job.cancelRequested && isStartable(job, byJob[job.spec.id].orEmpty(), sound, used)
+                !job.cancelRequested && isStartable(job, byJob[job.spec.id].orEmpty(), healthyWorkers, used)
             }
         val ids = startable.mapTo(HashSet()) { it.spec.id }
         waitingSince.keys.retainAll(ids)
         for (id in ids) {
             val since = waitingSince.getOrPut(id) { now }
-            if (now - since > MOST_MS) note(now, "waits: $id beside room since $since")
+            if (now - since > MAX_WAIT_MS) reportViolation(now, "waits: $id beside room since $since")
         }
     }
 
-    private fun isSound(worker: FakeWorker, now: Long) =
+    private fun isHealthy(worker: FakeWorker, now: Long) =
         !worker.silent(now) && now >= worker.cutUntil && now >= worker.deafUntil && worker.noticeS == null
 
     /** Whether one more task of [job] (of a gang, all of them) could be started now. */
@@ -69,6 +69,6 @@
     }
 
     companion object {
-        const val MOST_MS = 90_000L
+        const val MAX_WAIT_MS = 90_000L
     }
 }
--- a/src/main/kotlin/org/honeyjunction/simulation/WorkerNetwork.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/WorkerNetwork.kt
@@ -12,7 +12,7 @@
     private val nextHeartbeatAt = HashMap<String, Long>()
 
     /** The controller to which each worker sends its heartbeats, until that one responds no more. */
-    private val homes = HashMap<String, SimulatedController>()
+    private val currentControllers = HashMap<String, SimulatedController>()
     private val recorded = ArrayList<Heartbeat>()
 
     /** How often the first heartbeat that a leader got from a machine was a stale copy. */
@@ -66,14 +66,18 @@
     }
 
     private fun receiveHeartbeat(worker: FakeWorker, heartbeat: Heartbeat, sentAt: Long) {
-        val receiver = listOfNotNull(homes[worker.name], context.leader).firstOrNull { it.alive && faults.reachesController(worker, it) }
+        val receiver =
+            listOfNotNull(currentControllers[worker.name], context.leader).firstOrNull {
+                it.alive &&
+                    faults.reachesController(worker, it)
+            }
         val controller = receiver?.takeIf { it.reachable } ?: return
-        homes[worker.name] = controller
+        currentControllers[worker.name] = controller
         controller.run {
             val response = answerHeartbeat(heartbeat, context.now)
             val lost = controller.messagesToWorkersLost || context.now < worker.deafUntil || !faults.reachesWorker(worker, controller)
             if (response == null || lost) {
-                homes -= worker.name
+                currentControllers -= worker.name
                 return@run
             }
             respond(worker, heartbeat.session, sentAt, response.token, response.commands)
--- a/src/test/kotlin/org/honeyjunction/app/HistoryCheckerTest.kt
+++ b/src/test/kotlin/org/honeyjunction/app/HistoryCheckerTest.kt
@@ -18,7 +18,7 @@
 import org.honeyjunction.fake.Work
 import org.honeyjunction.io.HttpServer
 import org.honeyjunction.simulation.VirtualEventLoop
-import org.honeyjunction.simulation.VirtualNet
+import org.honeyjunction.simulation.VirtualNetwork
 import org.honeyjunction.simulation.VirtualTime
 import org.honeyjunction.wire.JobCodec
 import org.honeyjunction.wire.Json
@@ -119,7 +119,7 @@
     @EnumSource
     fun `what users are told`(lie: Lie) {
         val time = VirtualTime()
-        val net = VirtualNet(time, Random(1))
+        val net = VirtualNetwork(time, Random(1))
         val known = HashMap<String, String>()
 
         fun honest(r: Request, id: String): Response =
@@ -154,8 +154,8 @@
             loop.scope.launch { users.pressing.press(Fault.parse(f)) { emptySet() } }
         }
         // The task ends some time before the job is called done.
-        if (!lie.cancels) time.at(2_000) { watch.completed += "j-000001/0" }
-        time.at(3_000) { known.replace("j-000001", "running", "done") }
+        if (!lie.cancels) time.schedule(2_000) { watch.completed += "j-000001/0" }
+        time.schedule(3_000) { known.replace("j-000001", "running", "done") }
         time.runUntil(30_000)
         loop.scope.launch { users.askAgain() }
         time.runUntil(40_000)
@@ -174,7 +174,7 @@
     @Test
     fun `a job for which nobody answers`() {
         val time = VirtualTime()
-        val net = VirtualNet(time, Random(1))
+        val net = VirtualNetwork(time, Random(1))
         var up = true
         val node =
             HttpServer(
--- a/src/test/kotlin/org/honeyjunction/simulation/FailoverFaultsTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/FailoverFaultsTest.kt
@@ -54,7 +54,7 @@
         cluster.requireWorkConservation()
         cluster.run(240_000)
         assertEquals(emptyList<String>(), cluster.broken)
-        assertEquals(emptyList<String>(), jobs.filter { cluster.state.finals[it]?.stage != JobStage.DONE })
+        assertEquals(emptyList<String>(), jobs.filter { cluster.state.terminalRecords[it]?.stage != JobStage.DONE })
     }
 
     /**
@@ -89,7 +89,7 @@
         assertTrue(cluster.staleFirstHeartbeats > 0)
         assertEquals(again.task.attempt, cluster.history.starts.getValue("$job/0").task.attempt, "it was not started again")
         assertEquals(emptyList<String>(), cluster.broken)
-        assertEquals(JobStage.DONE, cluster.state.finals[other]?.stage)
+        assertEquals(JobStage.DONE, cluster.state.terminalRecords[other]?.stage)
     }
 
     /**
@@ -139,23 +139,23 @@
                     when {
                         "hand over" in change -> cluster.handOver()
                         change == "crash" -> cluster.crash()
-                        else -> cluster.cutOff()
+                        else -> cluster.isolateLeader()
                     }
                 }
-                cluster.run(3_000 + SimulatedCluster.LEASE + 3_200)
+                cluster.run(3_000 + SimulatedCluster.LEADER_LEASE_MS + 3_200)
                 // Those that came after the moment are called off as well, so that all end.
                 cancelled.forEach(cluster::cancelUntilConfirmed)
                 cluster.run(45_000)
                 cluster.network.delayedCommandPercent = 0
                 assertEquals(
                     emptyList<String>(),
-                    cancelled.filter { cluster.state.finals[it]?.stage != JobStage.CANCELLED },
+                    cancelled.filter { cluster.state.terminalRecords[it]?.stage != JobStage.CANCELLED },
                     "$name: confirmed",
                 )
                 assertEquals(0, cancelled.sumOf { cluster.live(it) }, name)
                 cluster.requireWorkConservation()
                 cluster.run(100_000)
-                assertEquals(JobStage.DONE, cluster.state.finals[stays]?.stage, name)
+                assertEquals(JobStage.DONE, cluster.state.terminalRecords[stays]?.stage, name)
                 assertEquals(emptyList<String>(), cluster.broken, name)
             }
         }
--- a/src/test/kotlin/org/honeyjunction/simulation/FailureAttributionSimulationTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/FailureAttributionSimulationTest.kt
@@ -73,11 +73,15 @@
             cluster.started - before <= badJobs * 4 * 6,
             "$case: ${cluster.started - before} starts in a minute in which only bad jobs were left",
         )
-        assertEquals(emptyList<String>(), (first + good).filter { cluster.state.finals[it]?.stage != JobStage.DONE }, "$case: unfinished")
-        assertEquals(services.associateWith { 4 }, services.associateWith { cluster.running(it) }, case)
+        assertEquals(
+            emptyList<String>(),
+            (first + good).filter { cluster.state.terminalRecords[it]?.stage != JobStage.DONE },
+            "$case: unfinished",
+        )
+        assertEquals(services.associateWith { 4 }, services.associateWith { cluster.runningTaskCount(it) }, case)
         bad.forEach { cluster.cancel(it) }
         cluster.run(40_000)
-        assertTrue(bad.all { cluster.state.finals[it]?.stage == JobStage.CANCELLED }, case)
+        assertTrue(bad.all { cluster.state.terminalRecords[it]?.stage == JobStage.CANCELLED }, case)
         assertEquals(emptyList<String>(), cluster.broken)
     }
 
@@ -104,11 +108,11 @@
         cluster.run(40_000)
         cluster.workers.values.take(3).forEach { it.dead = true }
         cluster.run(if (crash) 260_000 else 110_000)
-        assertEquals(emptyList<String>(), jobs.filter { cluster.state.finals[it]?.stage != JobStage.DONE }, "$case: unfinished")
-        assertEquals(services.associateWith { 4 }, services.associateWith { cluster.running(it) }, case)
+        assertEquals(emptyList<String>(), jobs.filter { cluster.state.terminalRecords[it]?.stage != JobStage.DONE }, "$case: unfinished")
+        assertEquals(services.associateWith { 4 }, services.associateWith { cluster.runningTaskCount(it) }, case)
         assertTrue(
-            cluster.cloud.rentedInAll - cluster.cloud.failedBoots <= rented,
-            "$case: ${cluster.cloud.rentedInAll} rented, ${cluster.cloud.failedBoots} never up",
+            cluster.cloud.totalRented - cluster.cloud.failedBoots <= rented,
+            "$case: ${cluster.cloud.totalRented} rented, ${cluster.cloud.failedBoots} never up",
         )
         assertEquals(0, cluster.cloud.bootingCount, "$case: none is paid for in vain in the end")
         assertEquals(emptyList<String>(), cluster.broken)
--- a/src/test/kotlin/org/honeyjunction/simulation/IdleTimeFailoverTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/IdleTimeFailoverTest.kt
@@ -12,14 +12,14 @@
         val cluster = SimulatedCluster(3)
         cluster.elect()
         cluster.submit(1, JobKind.ARRAY, 8, "a", seconds = 5.0)
-        while (cluster.state.finals.isEmpty()) cluster.run(100)
+        while (cluster.state.terminalRecords.isEmpty()) cluster.run(100)
         val idleFrom = cluster.now
         assertTrue(cluster.workers.isNotEmpty())
         // Every 25 s another leader; the idle time is 45 s.
         while (cluster.workers.isNotEmpty() && cluster.now - idleFrom < 200_000) {
             cluster.run(25_000)
             cluster.leader?.alive = false
-            cluster.run(SimulatedCluster.LEASE)
+            cluster.run(SimulatedCluster.LEADER_LEASE_MS)
             cluster.elect()
         }
         assertTrue(cluster.now - idleFrom < 100_000, "given back after ${(cluster.now - idleFrom) / 1000} s")
--- a/src/test/kotlin/org/honeyjunction/simulation/MassFailureTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/MassFailureTest.kt
@@ -57,17 +57,17 @@
         cluster.run(40_000)
         val before = cluster.machinesIn("x")
         assertTrue(before.size > 50, "up in x: ${before.size}")
-        val rented = cluster.cloud.rentedInAll
+        val rented = cluster.cloud.totalRented
         cluster.network.resetsConnections = resets
-        cluster.cut("x", seconds * 1_000)
+        cluster.disconnectZone("x", seconds * 1_000)
         cluster.run(2_000)
         if (crash) cluster.crash()
         cluster.run(seconds * 1_000 + 3_000)
         val left = cluster.machinesIn("x").count { it in before }
         assertTrue(left >= before.size * kept, "$case: $left of ${before.size} machines are left")
-        assertTrue(cluster.cloud.rentedInAll - rented <= before.size / 2, "$case: ${cluster.cloud.rentedInAll - rented} rented meanwhile")
+        assertTrue(cluster.cloud.totalRented - rented <= before.size / 2, "$case: ${cluster.cloud.totalRented - rented} rented meanwhile")
         cluster.run(20_000)
-        assertEquals(services.associateWith { 4 }, services.associateWith { cluster.running(it) }, "$case: replicas are back")
+        assertEquals(services.associateWith { 4 }, services.associateWith { cluster.runningTaskCount(it) }, "$case: replicas are back")
         cluster.assertRules()
     }
 
@@ -77,12 +77,12 @@
         val services = cluster.services(20)
         cluster.run(30_000)
         val before = cluster.machinesIn("x")
-        cluster.cut("x", 10_000_000)
+        cluster.disconnectZone("x", 10_000_000)
         cluster.run(10_000)
         cluster.crash()
         cluster.run(120_000)
         // Half of a spread job may stay in one zone: the rest must wait for the other.
-        assertTrue(services.all { cluster.running(it) >= 2 }, "${services.map { cluster.running(it) }}")
+        assertTrue(services.all { cluster.runningTaskCount(it) >= 2 }, "${services.map { cluster.runningTaskCount(it) }}")
         assertEquals(emptySet<String>(), cluster.machinesIn("x").intersect(before))
         cluster.assertRules()
     }
@@ -108,9 +108,9 @@
         cluster.run(35_000)
         when (case) {
             1 -> {
-                cluster.cut("x", 15_000)
+                cluster.disconnectZone("x", 15_000)
                 cluster.run(18_000)
-                cluster.cut("y", 15_000)
+                cluster.disconnectZone("y", 15_000)
             }
             2 -> {
                 cluster.workers.values.filter { it.box.zone == "x" }.forEachIndexed { i, m ->
@@ -122,7 +122,7 @@
                 cluster.crash()
             }
             4 -> {
-                cluster.cut("x", 14_000)
+                cluster.disconnectZone("x", 14_000)
                 cluster.run(10_000)
                 cluster.state.down = true
                 cluster.run(9_000)
@@ -130,15 +130,15 @@
             }
             5 -> {
                 cluster.cloud.down = true
-                cluster.cut("x", 20_000)
+                cluster.disconnectZone("x", 20_000)
                 cluster.run(4_000)
                 cluster.crash()
                 cluster.run(20_000)
                 cluster.cloud.down = false
             }
             7 -> {
-                cluster.cut("x", 16_000)
-                cluster.cutOff()
+                cluster.disconnectZone("x", 16_000)
+                cluster.isolateLeader()
                 cluster.run(20_000)
             }
             8 -> {
@@ -146,7 +146,7 @@
                 cluster.workers.values.filterIndexed { i, _ -> i % 3 > 0 }.forEach { it.dead = true }
             }
             9 -> {
-                cluster.cut("x", 21_000)
+                cluster.disconnectZone("x", 21_000)
                 cluster.run(2_000)
                 cluster.crash()
             }
@@ -155,7 +155,7 @@
                 cluster.workers.values.filter { it.box.zone == "y" }.forEach { it.cutUntil = cluster.now + 14_000 }
             }
             else -> {
-                cluster.cut("x", 16_000)
+                cluster.disconnectZone("x", 16_000)
                 cluster.run(2_000)
                 cluster.crash()
                 cluster.workers.values.filter { it.box.zone == "y" }.take(60).forEach {
@@ -170,22 +170,22 @@
         cluster.run(if (case == 8) 260_000 else 150_000)
         assertEquals(
             emptyList<String>(),
-            (arrays + gangs).filter { cluster.state.finals[it]?.stage != JobStage.DONE },
+            (arrays + gangs).filter { cluster.state.terminalRecords[it]?.stage != JobStage.DONE },
             "unfinished after '$name'",
         )
-        assertEquals(services.associateWith { 4 }, services.associateWith { cluster.running(it) }, name)
+        assertEquals(services.associateWith { 4 }, services.associateWith { cluster.runningTaskCount(it) }, name)
         cluster.assertRules()
     }
 
     private val actions: List<Pair<String, SimulatedCluster.() -> Unit>> =
         listOf(
             "nothing" to {},
-            "cut x" to { cut("x", 9_000) },
-            "cut y long" to { cut("y", 20_000) },
+            "cut x" to { disconnectZone("x", 9_000) },
+            "cut y long" to { disconnectZone("y", 20_000) },
             "leader crashes" to { crash() },
             "leader cut off" to {
-                leader?.cutOff = true
-                after(SimulatedCluster.LEASE) { elect() }
+                leader?.isolated = true
+                after(SimulatedCluster.LEADER_LEASE_MS) { elect() }
             },
             "a machine dies" to { workers.values.firstOrNull { !it.dead }?.dead = true },
             "a machine hangs" to { workers.values.lastOrNull { !it.dead }?.hungUntil = now + 16_000 },
@@ -217,7 +217,11 @@
             cluster.run(150_000)
             val name = path.joinToString { actions[it].first }
             assertEquals(emptyList<String>(), cluster.broken, name)
-            assertEquals(emptyList<String>(), jobs.filter { cluster.state.finals[it]?.stage != JobStage.DONE }, "unfinished after: $name")
+            assertEquals(
+                emptyList<String>(),
+                jobs.filter { cluster.state.terminalRecords[it]?.stage != JobStage.DONE },
+                "unfinished after: $name",
+            )
         }
         go(emptyList())
         return walked
--- a/src/test/kotlin/org/honeyjunction/simulation/NewMachineFailoverTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/NewMachineFailoverTest.kt
@@ -53,7 +53,7 @@
         val cluster =
             SimulatedCluster(seed, capacity = 14, setup = ClusterSetup(limits = mapOf("a" to 14.0, "b" to 10.0), listLagMs = 8_000))
         cluster.cloud.bootFactor = 0.25
-        cluster.cloud.listsLag = true
+        cluster.cloud.extraListLag = true
         cluster.network.lateWritePercent = 25
         cluster.network.unansweredWritePercent = 15
         cluster.network.delayedCommandPercent = 4
@@ -78,7 +78,7 @@
                 when (change) {
                     "hand over" -> cluster.handOver()
                     "crash" -> cluster.crash()
-                    else -> cluster.cutOff()
+                    else -> cluster.isolateLeader()
                 }
                 if (change == "hand over") {
                     assertTrue(
@@ -101,7 +101,7 @@
         cluster.requireWorkConservation()
         cluster.run(220_000)
         assertEquals(emptyList<String>(), cluster.broken)
-        assertEquals(emptyList<String>(), jobs.filter { cluster.state.finals[it]?.stage != JobStage.DONE }, "each has run")
+        assertEquals(emptyList<String>(), jobs.filter { cluster.state.terminalRecords[it]?.stage != JobStage.DONE }, "each has run")
         assertTrue(
             cluster.cloud.paid().let {
                 it.first + it.second
@@ -141,6 +141,6 @@
         cluster.requireWorkConservation()
         cluster.run(150_000)
         assertEquals(emptyList<String>(), cluster.broken)
-        assertEquals(emptyList<String>(), jobs.filter { cluster.state.finals[it]?.stage != JobStage.DONE }, "each has run")
+        assertEquals(emptyList<String>(), jobs.filter { cluster.state.terminalRecords[it]?.stage != JobStage.DONE }, "each has run")
     }
 }
--- a/src/test/kotlin/org/honeyjunction/simulation/OverlappingFaultsRecoveryTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/OverlappingFaultsRecoveryTest.kt
@@ -30,7 +30,7 @@
 
     private fun SimulatedCluster.assertDone(ids: List<String>) {
         assertEquals(emptyList<String>(), broken)
-        assertEquals(emptyList<String>(), ids.filter { state.finals[it]?.stage != JobStage.DONE }, "unfinished")
+        assertEquals(emptyList<String>(), ids.filter { state.terminalRecords[it]?.stage != JobStage.DONE }, "unfinished")
     }
 
     /** Direct commands still reach workers that reach no controller: no spell below the lease costs anything. */
@@ -41,7 +41,7 @@
         cluster.elect()
         val job = cluster.submit(1, JobKind.ARRAY, 8, "b", seconds = 40.0)
         cluster.run(12_000)
-        assertEquals(8, cluster.running(job))
+        assertEquals(8, cluster.runningTaskCount(job))
         var starts = 0
         cluster.onEachStart { starts++ }
         cluster.blockHeartbeats(cluster.workers.keys.toSet(), forMs)
@@ -101,7 +101,7 @@
         cluster.run(120_000)
         assertEquals(emptyList<String>(), late, "started where reports are missing")
         cluster.assertDone(jobs)
-        assertEquals(emptyList<String>(), cancelled.filter { cluster.state.finals[it] == null })
+        assertEquals(emptyList<String>(), cancelled.filter { cluster.state.terminalRecords[it] == null })
     }
 
     /** Mute machines, the leader ends, and a cancellation: the next one's token and stop go as commands, no report is needed for either. */
@@ -120,7 +120,7 @@
         assertTrue(first in cluster.history.cancelledAt)
         assertEquals(0, cluster.live(first))
         cluster.crash()
-        cluster.run(SimulatedCluster.LEASE + 700)
+        cluster.run(SimulatedCluster.LEADER_LEASE_MS + 700)
         assertEquals(4, cluster.live(second), "still there, and its machines mute")
         cluster.cancel(second)
         cluster.run(1_000)
@@ -167,7 +167,7 @@
         assertEquals(0, restarted, "replicas stayed")
         cluster.runWithWorkConservation(60_000)
         cluster.assertDone(jobs)
-        assertEquals(2, cluster.running(replicas))
+        assertEquals(2, cluster.runningTaskCount(replicas))
         cluster.run(120_000)
         assertTrue(cluster.workers.size <= 2, "${cluster.workers.size} machines for two replicas")
         assertEquals(emptyList<String>(), cluster.broken)
@@ -247,7 +247,7 @@
                     cluster.state.pages.values.any { (page, _) -> page.done[id]?.isEmpty == false } &&
                         id in cluster.state.jobs
                 }
-            cluster.run(SimulatedCluster.LEASE + 1_000)
+            cluster.run(SimulatedCluster.LEADER_LEASE_MS + 1_000)
         }
         assertTrue(lost > 0, "answers were lost")
         assertTrue(apart > 0, "a leader ended between two ends of a job")
@@ -285,7 +285,7 @@
         cluster.network.reachesWorker = { m, _ -> m.name != machine || cluster.now >= arrives }
         while (machine.isEmpty()) cluster.run(100)
         val session = cluster.workers.getValue(machine).session
-        cluster.run(SimulatedCluster.LEASE + 1_500)
+        cluster.run(SimulatedCluster.LEADER_LEASE_MS + 1_500)
         val phases =
             cluster.leader!!
                 .leader.state.active
@@ -328,11 +328,11 @@
         // The first ends at once again, the second stays.
         cluster.run(700)
         cluster.crash()
-        cluster.run(SimulatedCluster.LEASE + 10_000)
-        assertEquals(2, cluster.running(replicas), "replicas are back")
+        cluster.run(SimulatedCluster.LEADER_LEASE_MS + 10_000)
+        assertEquals(2, cluster.runningTaskCount(replicas), "replicas are back")
         cluster.runWithWorkConservation(100_000)
         cluster.assertDone(jobs)
-        assertTrue(cluster.state.finals[cancelled]?.stage == JobStage.CANCELLED && cluster.live(cancelled) == 0)
+        assertTrue(cluster.state.terminalRecords[cancelled]?.stage == JobStage.CANCELLED && cluster.live(cancelled) == 0)
     }
 
     /**
@@ -362,7 +362,7 @@
         val job = cluster.submit(1, JobKind.ARRAY, 4, "b", seconds = 1e6)
         cluster.submit(2, JobKind.SERVICE, 8, "a", priority = Priority.PRODUCTION)
         cluster.run(70_000)
-        assertEquals(4, cluster.running(job))
+        assertEquals(4, cluster.runningTaskCount(job))
         val hung = cluster.with(job).take(1)
         assertTrue(cluster.workers.size > 1, "while no machine is heard, silence tells nothing")
         val until = cluster.now + hangMs
@@ -418,7 +418,7 @@
                 val refusedAt = cluster.now + 2_000
                 cluster.after(2_000) {
                     former.refused = true
-                    cluster.after(SimulatedCluster.LEASE) { if (!cluster.state.down) cluster.elect() }
+                    cluster.after(SimulatedCluster.LEADER_LEASE_MS) { if (!cluster.state.down) cluster.elect() }
                 }
                 cluster.after(2_000 + outageAfterMs) { cluster.state.down = true }
 
@@ -433,7 +433,7 @@
                 assertEquals(0, cluster.live(job), "stopped, though it may not be confirmed: $name")
                 cluster.run(refusedAt + outageAfterMs + 45_000 - cluster.now)
                 assertEquals(
-                    cancelAfterMs < 0 || cancelAfterMs < outageAfterMs - 500 && outageAfterMs > SimulatedCluster.LEASE,
+                    cancelAfterMs < 0 || cancelAfterMs < outageAfterMs - 500 && outageAfterMs > SimulatedCluster.LEADER_LEASE_MS,
                     job in cluster.history.cancelledAt,
                     "confirmed only what is durable: $name",
                 )
@@ -441,7 +441,7 @@
                 cluster.state.down = false
                 former.refused = false
                 cluster.run(10_000)
-                assertEquals(JobStage.CANCELLED, cluster.state.finals[job]?.stage, name)
+                assertEquals(JobStage.CANCELLED, cluster.state.terminalRecords[job]?.stage, name)
                 assertEquals(emptyList<String>(), cluster.broken, name)
             }
         }
--- a/src/test/kotlin/org/honeyjunction/simulation/OverlappingFaultsTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/OverlappingFaultsTest.kt
@@ -47,8 +47,8 @@
         val job = cluster.running()
         val former = cluster.leader!!
         cluster.network.nextLeaderLosesMessages = true
-        cluster.cutOff()
-        cluster.run(SimulatedCluster.LEASE + 200)
+        cluster.isolateLeader()
+        cluster.run(SimulatedCluster.LEADER_LEASE_MS + 200)
         val next = cluster.leader!!
         assertTrue(next !== former && former.alive)
         cluster.cancel(job)
@@ -72,8 +72,8 @@
     fun `a cancellation is confirmed at once where the next leader's token is known`(seed: Long) {
         val cluster = SimulatedCluster(seed)
         val job = cluster.running()
-        cluster.cutOff()
-        cluster.run(SimulatedCluster.LEASE + 1_500)
+        cluster.isolateLeader()
+        cluster.run(SimulatedCluster.LEADER_LEASE_MS + 1_500)
         cluster.cancel(job)
         cluster.run(300)
         assertTrue(job in cluster.history.cancelledAt, "confirmed")
@@ -116,12 +116,12 @@
         cluster.run(10_000)
         cluster.workers.values.forEach { it.deafUntil = cluster.now + 25_000 }
         cluster.crash()
-        cluster.run(SimulatedCluster.LEASE + 500)
+        cluster.run(SimulatedCluster.LEADER_LEASE_MS + 500)
         cluster.cancel(job)
         cluster.run(36_000)
         assertEquals(0, cluster.live(job))
         cluster.run(120_000)
-        assertEquals(JobStage.DONE, cluster.state.finals[other]?.stage)
+        assertEquals(JobStage.DONE, cluster.state.terminalRecords[other]?.stage)
         assertEquals(emptyList<String>(), cluster.broken)
     }
 
@@ -141,7 +141,7 @@
             cluster.run(9_000)
         }
         cluster.run(90_000)
-        for (id in listOf(job, rest)) assertEquals(JobStage.DONE, cluster.state.finals[id]?.stage, id)
+        for (id in listOf(job, rest)) assertEquals(JobStage.DONE, cluster.state.terminalRecords[id]?.stage, id)
         assertEquals(emptyList<String>(), cluster.broken)
     }
 
@@ -190,18 +190,18 @@
             assertEquals(emptyList<String>(), late, "begin within four minutes, at ${cluster.now}")
         }
         cluster.run(260_000)
-        assertEquals(emptyList<String>(), (small + large).filter { cluster.state.finals[it]?.stage != JobStage.DONE })
+        assertEquals(emptyList<String>(), (small + large).filter { cluster.state.terminalRecords[it]?.stage != JobStage.DONE })
         assertEquals(emptyList<String>(), cluster.broken)
     }
 
     private val faults: List<Pair<String, SimulatedCluster.() -> Unit>> =
         listOf(
             "the leader ends" to { crash() },
-            "the leader is cut off" to { cutOff() },
+            "the leader is cut off" to { isolateLeader() },
             "the leader is cut off and messages of the next one are lost" to
                 {
                     network.nextLeaderLosesMessages = true
-                    cutOff()
+                    isolateLeader()
                     after(20_000) {
                         network.nextLeaderLosesMessages = false
                         leader?.messagesToWorkersLost = false
@@ -214,7 +214,7 @@
             },
             "half of the machines are deaf" to
                 { workers.values.filterIndexed { i, _ -> i % 2 == 0 }.forEach { it.deafUntil = now + 16_000 } },
-            "a zone is cut" to { cut("x", 14_000) },
+            "a zone is cut" to { disconnectZone("x", 14_000) },
             "machines hang" to { workers.values.filterIndexed { i, _ -> i % 3 == 0 }.forEach { it.hungUntil = now + 16_000 } },
             "reports come twice" to {
                 network.repeatedHeartbeatPercent = 60
@@ -252,8 +252,8 @@
                 cluster.run(150_000)
                 val name = "$a, after $gapMs ms $b"
                 assertEquals(emptyList<String>(), cluster.broken, name)
-                assertEquals(emptyList<String>(), jobs.filter { cluster.state.finals[it] == null }, "unfinished after: $name")
-                assertEquals(2, cluster.running(replicas), "replicas after: $name")
+                assertEquals(emptyList<String>(), jobs.filter { cluster.state.terminalRecords[it] == null }, "unfinished after: $name")
+                assertEquals(2, cluster.runningTaskCount(replicas), "replicas after: $name")
             }
         }
     }
--- a/src/test/kotlin/org/honeyjunction/simulation/OverloadTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/OverloadTest.kt
@@ -37,7 +37,7 @@
         cluster.crash()
         cluster.run(120_000)
         assertEquals(emptyList<String>(), cluster.broken)
-        assertTrue(jobs.all { cluster.state.finals[it]?.stage == JobStage.DONE }, "all is done in the end")
+        assertTrue(jobs.all { cluster.state.terminalRecords[it]?.stage == JobStage.DONE }, "all is done in the end")
     }
 
     /** Leaders that stand still while their clocks run on: shorter than the lease, longer, and with others that fail meanwhile. */
@@ -60,13 +60,13 @@
         cluster.freeze(forMs)
         if (machines) {
             cluster.workers.values.take(3).forEach { it.dead = true }
-            cluster.cut("x", 16_000)
+            cluster.disconnectZone("x", 16_000)
         }
         cluster.run(forMs + 100)
         cluster.state.down = false
         cluster.run(100_000)
         assertEquals(emptyList<String>(), cluster.broken)
-        assertEquals(services.associateWith { 4 }, services.associateWith { cluster.running(it) }, case)
-        assertTrue(jobs.all { cluster.state.finals[it]?.stage == JobStage.DONE }, case)
+        assertEquals(services.associateWith { 4 }, services.associateWith { cluster.runningTaskCount(it) }, case)
+        assertTrue(jobs.all { cluster.state.terminalRecords[it]?.stage == JobStage.DONE }, case)
     }
 }
--- a/src/test/kotlin/org/honeyjunction/simulation/RulesSimulationTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/RulesSimulationTest.kt
@@ -24,7 +24,7 @@
 
     private fun SimulatedCluster.assertDone(jobs: List<String>) {
         assertEquals(emptyList<String>(), broken)
-        assertEquals(emptyList<String>(), jobs.filter { state.finals[it]?.stage != JobStage.DONE }, "unfinished jobs")
+        assertEquals(emptyList<String>(), jobs.filter { state.terminalRecords[it]?.stage != JobStage.DONE }, "unfinished jobs")
     }
 
     @ParameterizedTest
@@ -53,7 +53,7 @@
         cluster.run(9_000)
         cluster.workers.values.first().dead = true
         cluster.leader?.alive = false
-        cluster.after(SimulatedCluster.LEASE) { cluster.elect() }
+        cluster.after(SimulatedCluster.LEADER_LEASE_MS) { cluster.elect() }
         cluster.run(9_000)
         cluster.workers.values.filter { !it.dead }.last().cutUntil = cluster.now + 14_000
         cluster.run(260_000)
@@ -77,7 +77,7 @@
         val other = cluster.submit(2, JobKind.ARRAY, 4, "a")
         cluster.run(120_000)
         cluster.assertDone(listOf(other))
-        assertTrue(cluster.cloud.rentedInAll <= 4, "rented ${cluster.cloud.rentedInAll}")
+        assertTrue(cluster.cloud.totalRented <= 4, "rented ${cluster.cloud.totalRented}")
         val why = cluster.leader!!.leader.explain("j-1", 0, 1, cluster.now)!!.single().pendingReasons
         assertTrue(why.any { "no machine is rented" in it && "\"z\"" in it }, why.toString())
     }
@@ -89,7 +89,7 @@
         val job = cluster.submit(1, JobKind.ARRAY, 6, "a", jobClass = "q")
         cluster.run(60_000)
         cluster.assertDone(listOf(job))
-        assertTrue(cluster.cloud.rentedInAll in 5..8, "rented ${cluster.cloud.rentedInAll}")
+        assertTrue(cluster.cloud.totalRented in 5..8, "rented ${cluster.cloud.totalRented}")
     }
 
     @Test
--- a/src/test/kotlin/org/honeyjunction/simulation/ScenarioTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/ScenarioTest.kt
@@ -23,7 +23,7 @@
         )
 
     private fun play(seed: Long, vararg faults: String): Scenario =
-        Scenario(setup, 300, seed, Scenario.jobs(300, setup), faults.map(Fault::parse)) { _, _ -> }.also { it.play(600_000) }
+        Scenario(setup, 300, seed, Scenario.jobs(300, setup), faults.map(Fault::parse)) { _, _ -> }.also { it.run(600_000) }
 
     @Test
     fun `a partitioned zone and machines that die - all work is done, and a seed repeats the run`() {
@@ -33,7 +33,7 @@
         assertEquals(emptyList<String>(), scenario.unfinished())
         assertTrue(scenario.serviceLevels.availability() in 0.85..0.999, "replica time ${scenario.serviceLevels.availability()}")
         assertTrue(scenario.serviceLevels.worstAvailability(30) < scenario.serviceLevels.availability())
-        assertTrue(scenario.serviceLevels.waits(JobKind.GANG).all { it != null })
+        assertTrue(scenario.serviceLevels.waitQuantiles(JobKind.GANG).all { it != null })
         val again = play(3, *faults)
         assertEquals(
             listOf(scenario.status(), scenario.serviceLevels.availability(), scenario.serviceLevels.spent),
--- a/src/test/kotlin/org/honeyjunction/simulation/SimulationTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/SimulationTest.kt
@@ -20,7 +20,7 @@
 
     private fun SimulatedCluster.assertAllDone(jobs: List<String>) {
         assertEquals(emptyList<String>(), broken)
-        assertEquals(emptyList<String>(), jobs.filter { state.finals[it]?.stage != JobStage.DONE }, "unfinished jobs")
+        assertEquals(emptyList<String>(), jobs.filter { state.terminalRecords[it]?.stage != JobStage.DONE }, "unfinished jobs")
     }
 
     @Test
@@ -35,7 +35,7 @@
         cluster.cancel(long)
         cluster.run(120_000)
         cluster.assertAllDone(jobs)
-        assertEquals(JobStage.CANCELLED, cluster.state.finals[long]?.stage)
+        assertEquals(JobStage.CANCELLED, cluster.state.terminalRecords[long]?.stage)
         assertEquals(2, cluster.workers.values.sumOf { it.tasks.values.count { t -> t.live && t.spec.id == service } })
         assertTrue(cluster.workers.size <= 3, "idle machines are returned: ${cluster.workers.keys}")
     }
@@ -92,11 +92,11 @@
         when (fault) {
             "leader crash" -> {
                 leader?.alive = false
-                after(SimulatedCluster.LEASE) { elect() }
+                after(SimulatedCluster.LEADER_LEASE_MS) { elect() }
             }
             "leader cut off" -> {
                 // The old one goes on: it reaches the workers, but not the state service.
-                after(SimulatedCluster.LEASE) { elect() }
+                after(SimulatedCluster.LEADER_LEASE_MS) { elect() }
             }
             "machine dies" -> machine?.dead = true
             "machine hangs" -> machine?.hungUntil = now + 5_000 + random.nextInt(25_000)
--- a/src/test/kotlin/org/honeyjunction/simulation/TeamLimitFaultsTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/TeamLimitFaultsTest.kt
@@ -27,7 +27,7 @@
     private enum class LeaderFault(val inject: SimulatedCluster.() -> Unit) {
         HAND_OVER({ handOver() }),
         CRASH({ crash() }),
-        CUT_OFF({ cutOff() }),
+        CUT_OFF({ isolateLeader() }),
         TWICE({
             handOver()
             after(1_500) { handOver() }
@@ -96,11 +96,15 @@
         assertEquals(emptyList<String>(), cluster.broken, name)
         assertEquals(
             emptyList<String>(),
-            cancelledJobs.filter { cluster.state.finals[it]?.stage != JobStage.CANCELLED },
+            cancelledJobs.filter { cluster.state.terminalRecords[it]?.stage != JobStage.CANCELLED },
             "$name: cancelled",
         )
-        assertEquals(emptyList<String>(), (waiting + others[0]).filter { cluster.state.finals[it]?.stage != JobStage.DONE }, "$name: done")
-        assertEquals(2, cluster.running(others[1]), name)
+        assertEquals(
+            emptyList<String>(),
+            (waiting + others[0]).filter { cluster.state.terminalRecords[it]?.stage != JobStage.DONE },
+            "$name: done",
+        )
+        assertEquals(2, cluster.runningTaskCount(others[1]), name)
     }
 
     @ParameterizedTest
@@ -181,6 +185,6 @@
         cluster.requireWorkConservation()
         cluster.run(140_000)
         assertEquals(emptyList<String>(), cluster.broken)
-        assertEquals(emptyList<String>(), (jobs + first).filter { cluster.state.finals[it]?.stage != JobStage.DONE })
+        assertEquals(emptyList<String>(), (jobs + first).filter { cluster.state.terminalRecords[it]?.stage != JobStage.DONE })
     }
 }
--- a/src/test/kotlin/org/honeyjunction/simulation/TeamLimitTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/TeamLimitTest.kt
@@ -30,11 +30,11 @@
             if (it == 120) cluster.crash()
             cluster.run(1_000)
             // What a dead machine leaves free at once would let the gang in by luck.
-            if (it == 99) assertEquals(done, cluster.state.finals[gang]?.stage == JobStage.DONE, case)
+            if (it == 99) assertEquals(done, cluster.state.terminalRecords[gang]?.stage == JobStage.DONE, case)
         }
         cluster.run(900_000)
-        assertEquals(emptyList<String>(), arrays.filter { cluster.state.finals[it]?.stage != JobStage.DONE }, "$case: arrays")
-        assertEquals(replicas, cluster.running(service), case)
+        assertEquals(emptyList<String>(), arrays.filter { cluster.state.terminalRecords[it]?.stage != JobStage.DONE }, "$case: arrays")
+        assertEquals(replicas, cluster.runningTaskCount(service), case)
         assertEquals(emptyList<String>(), cluster.broken)
     }
 }
--- a/src/test/kotlin/org/honeyjunction/simulation/ZonePartitionFaultsTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/ZonePartitionFaultsTest.kt
@@ -116,7 +116,7 @@
             }
             cluster.runWithWorkConservation(120_000)
             assertEquals(emptyList<String>(), cluster.broken, how)
-            assertEquals(emptyList<String>(), jobs.filter { cluster.state.finals[it]?.stage != JobStage.DONE }, "unfinished: $how")
+            assertEquals(emptyList<String>(), jobs.filter { cluster.state.terminalRecords[it]?.stage != JobStage.DONE }, "unfinished: $how")
         }
         // The meeting: the new leader had tasks to start while others of the job might still have been in their zone; or all
         // had to go on elsewhere.
@@ -160,7 +160,7 @@
             cluster.after(cutMs) { cluster.cloud.down = false }
         }
         val cutAt = cluster.now
-        cluster.run(SimulatedCluster.LEASE + 1_000)
+        cluster.run(SimulatedCluster.LEADER_LEASE_MS + 1_000)
         val next = cluster.leader!!
         assertTrue(next !== former && former.alive)
         cluster.cancel(doomed)
@@ -190,7 +190,7 @@
         assertTrue(doomed in cluster.history.cancelledAt && cluster.live(doomed) == 0)
         cluster.runWithWorkConservation(120_000)
         assertEquals(emptyList<String>(), cluster.broken)
-        assertEquals(emptyList<String>(), jobs.filter { cluster.state.finals[it]?.stage != JobStage.DONE }, "unfinished")
+        assertEquals(emptyList<String>(), jobs.filter { cluster.state.terminalRecords[it]?.stage != JobStage.DONE }, "unfinished")
     }
 
     /**
@@ -211,7 +211,7 @@
             )
         cluster.run(15_000)
         val sessions = cluster.workers.values.filter { it.box.zone == "x" }.associate { it.name to it.session }
-        cluster.cut("x", 25_000)
+        cluster.disconnectZone("x", 25_000)
         cluster.run(3_000)
         cluster.crash()
         cluster.run(24_000)
@@ -223,6 +223,6 @@
         )
         cluster.runWithWorkConservation(150_000)
         assertEquals(emptyList<String>(), cluster.broken)
-        assertEquals(emptyList<String>(), jobs.filter { cluster.state.finals[it]?.stage != JobStage.DONE }, "unfinished")
+        assertEquals(emptyList<String>(), jobs.filter { cluster.state.terminalRecords[it]?.stage != JobStage.DONE }, "unfinished")
     }
 }
