--- a/src/main/kotlin/org/honeyjunction/simulation/ClusterChecks.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/ClusterChecks.kt
@@ -10,7 +10,7 @@
 import org.honeyjunction.fake.HistoryChecker
 import org.honeyjunction.fake.ReferenceModel
 
-/** What is asserted after every step of a [SimulatedCluster]; violations are added to [HistoryChecker.broken]. */
+/** Checks invariants after every step of a [SimulatedCluster]; violations are added to [HistoryChecker.broken]. */
 class ClusterChecks(private val context: SimulationContext, var rules: RuleSet) {
     private val history = context.history
     private var workConservation: WorkConservationChecker? = null
@@ -19,12 +19,12 @@
         history.onStart = ::checkPlacementRules
     }
 
-    /** From now on no job may wait for long beside machines with room. */
+    /** From now on reports every job that waits for long although machines have room for it. */
     fun requireWorkConservation() {
         workConservation = WorkConservationChecker(context.setup.teamLimits, history::note)
     }
 
-    /** Certain "must" rules hold for every start, and nothing runs beside what a rule keeps away. */
+    /** Every start satisfies the "must" rules whose outcome is certain, and those that forbid tasks to run together. */
     private fun checkPlacementRules(start: HistoryChecker.Start) {
         val box = start.worker.box
         for (verdict in ReferenceModel(rules).judge(start.task.spec, box, start.beside, listOf(box))) {
@@ -36,6 +36,7 @@
         }
     }
 
+    /** Checks all invariants at the present time. */
     fun check() {
         val controller = context.leader
         val everySecond = context.now % 1_000 == 0L
@@ -51,7 +52,7 @@
 
     private fun checkStarvation(leader: Leader) {
         leader.starvedGroups(context.now).forEach { (group, counts) ->
-            val started = "only ${counts.started} of ${counts.accepted} jobs were started beside free machines"
+            val started = "only ${counts.started} of ${counts.accepted} jobs were started although machines were free"
             history.note(context.now, "starved: of $group $started")
         }
     }
@@ -61,7 +62,7 @@
         unexplained.forEach { history.broken += "${context.now} $it" }
     }
 
-    /** The sums that the leader maintains incrementally equal those of a full count. */
+    /** Compares the sums that the leader maintains incrementally with those of a full count. */
     private fun checkBookkeeping(state: ClusterState) {
         val placements = state.machines.flatMap { it.placements.values }
         for (team in state.cluster.teams.indices) checkTeamUsage(state, team, placements)
--- a/src/main/kotlin/org/honeyjunction/simulation/ClusterSetup.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/ClusterSetup.kt
@@ -21,6 +21,7 @@
     /** The limits of the teams as resources; processors and memory are not limited. */
     val teamLimits: Map<String, Resources> get() = limits.mapValues { (_, gpus) -> Resources(0.0, gpus, 0.0) }
 
+    /** Creates the cluster model with which a leader starts. */
     fun cluster(): Cluster {
         val zoneNames = NameTable()
         zones.forEach(zoneNames::index)
--- a/src/main/kotlin/org/honeyjunction/simulation/EffectExecutor.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/EffectExecutor.kt
@@ -13,6 +13,7 @@
 
     private enum class WriteDelivery { LATE, UNANSWERED, ANSWERED }
 
+    /** Executes [effect] of [controller]; results are fed back to the leader later. */
     fun execute(controller: SimulatedController, effect: Effect) {
         when (effect) {
             is Effect.Commit -> commit(controller, effect)
@@ -53,7 +54,10 @@
         }
     }
 
-    /** Terminal records always arrive; of other writes, one in fifty is late and one in fifty unanswered even without faults. */
+    /**
+     * Draws how a write is delivered. Terminal records always arrive; of other writes, even without faults, one in fifty is late
+     * and one in fifty is unanswered.
+     */
     private fun drawDelivery(effect: Effect.Commit): WriteDelivery {
         if (effect.changes.any { it is Change.JobFinished }) return WriteDelivery.ANSWERED
         if (context.happens(context.network.lateWritePercent)) return WriteDelivery.LATE
@@ -67,7 +71,7 @@
 
     private fun apply(controller: SimulatedController, effect: Effect.Commit): Long? = context.state.commit(controller.term, effect.changes)
 
-    /** [version]: of the response that arrived; null where there is none, so that the written page has to be read. */
+    /** [version] comes from the response; null if none arrived, so that the written page must be read to learn the outcome. */
     private fun reportOutcome(controller: SimulatedController, effect: Effect.Commit, version: Long?) {
         if (controller.term != context.state.term) {
             controller.alive = false
--- a/src/main/kotlin/org/honeyjunction/simulation/FakeStateService.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/FakeStateService.kt
@@ -16,10 +16,14 @@
  * which the simulation of the core does without.
  */
 class FakeStateService {
-    /** The latest term; writes of earlier ones are refused. */
+    /** The latest term; writes of earlier terms are refused. */
     var term = 0L
+
+    /** Whether the service is unavailable: reads and writes fail. */
     var down = false
     private var revision = 0L
+
+    /** Active jobs by id. */
     val jobs = LinkedHashMap<String, StoredJob>()
 
     /** Terminal records of jobs. */
@@ -27,12 +31,13 @@
     private var leaderCheckpoint = LeaderCheckpoint()
     private val machineCheckpoints = HashMap<Int, List<MachineCheckpoint>>()
 
-    /** The pages of the placement journal, each with the write that it is from. */
+    /** The pages of the placement journal, each with the id of the write that produced it. */
     val pages = LinkedHashMap<Int, Pair<JournalPageRecord, Long>>()
 
+    /** Stores [job] as active and returns it with its version. */
     fun submit(job: StoredJob): StoredJob = job.copy(version = ++revision).also { jobs[job.spec.id] = it }
 
-    /** The new revision; null: a condition failed, or the service is down. */
+    /** Applies [changes] as one transaction. Returns the new revision, or null if a condition failed or the service is down. */
     fun commit(byTerm: Long, changes: List<Change>): Long? {
         if (down || byTerm != term || !changes.all(::conditionHolds)) return null
         revision++
@@ -59,13 +64,14 @@
         }
     }
 
-    /** As the driver does after a write without a response: reads a written page to see which write it is from. */
+    /** Reads a written page to learn whether the write was applied, as the driver does after a write without a response. */
     fun reread(changes: List<Change>): CommitOutcome {
         val change = changes.filterIsInstance<Change.JournalPage>().firstOrNull() ?: return CommitOutcome.Failed()
         val (record, write) = pages[change.record.page] ?: return CommitOutcome.Failed(0)
         return if (write == change.writeId) CommitOutcome.Applied(record.version) else CommitOutcome.Failed(record.version)
     }
 
+    /** Reads the record of job [id]. */
     fun record(id: String): JobRecord {
         if (down) return JobRecord.Unread
         jobs[id]?.let { return JobRecord.Active(it.version) }
@@ -73,7 +79,7 @@
         return JobRecord.Finished(final.stage == JobStage.CANCELLED)
     }
 
-    /** What a new leader reads; of the terminal records those of jobs that a journal page still names. */
+    /** The state that a new leader reads; it includes the terminal records only of jobs that a journal page still names. */
     fun recovered(): RecoveredState {
         val records = pages.values.map { it.first }
         val namedByPages = records.flatMap { record -> record.starts.map { it.job } }.toSet()
--- a/src/main/kotlin/org/honeyjunction/simulation/FaultScenarios.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/FaultScenarios.kt
@@ -11,8 +11,8 @@
 }
 
 /**
- * For [forMs] [zone] is partitioned together with the leader in it, which goes on answering the zone's workers and can't be
- * reached by any others.
+ * For [forMs] [zone] is partitioned together with the leader in it, which still responds to the workers of the zone and can't be
+ * reached by other workers.
  */
 fun SimulatedCluster.partitionZoneWithLeader(zone: String, forMs: Long) {
     val inside = leader ?: return
@@ -26,7 +26,7 @@
     after(forMs) { inside.isolated = false }
 }
 
-/** The leader ends; another is elected after its lease, but not before the state service is up. */
+/** The leader crashes; another is elected once its lease has expired and the state service is available. */
 fun SimulatedCluster.crashAndElectWhenPossible() {
     leader?.alive = false
 
@@ -45,7 +45,7 @@
     }
 }
 
-/** Goes on for [forMs] without faults; from now on [SimulatedCluster.requireWorkConservation] holds. */
+/** Runs for [forMs] without new faults; work conservation is required from now on. */
 fun SimulatedCluster.runWithWorkConservation(forMs: Long) {
     requireWorkConservation()
     run(forMs)
--- a/src/main/kotlin/org/honeyjunction/simulation/FleetJobs.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/FleetJobs.kt
@@ -13,7 +13,7 @@
     private val oneGpu = Resources(machine.cpus / machine.gpus, 1.0, machine.memoryGb / machine.gpus)
     private val teams = setup.limits.keys.toList()
 
-    /** A third of the jobs come at the start, the rest within a minute and a half. */
+    /** Jobs for [machines] machines: a third are submitted at the start, the rest within a minute and a half. */
     fun jobsFor(machines: Int): List<PlannedJob> {
         var number = 0
         val services = List(machines / 8) { job(++number, JobKind.SERVICE, 4, oneGpu, Priority.PRODUCTION, FOREVER_S) }
--- a/src/main/kotlin/org/honeyjunction/simulation/NetworkFaults.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/NetworkFaults.kt
@@ -7,53 +7,54 @@
 
 /**
  * Faults of the messages between controllers, workers and the state service of a [SimulatedCluster], beside those of the
- * machines themselves ([FakeWorker.cutUntil] and others). At first there are none. Percentages count of a hundred messages.
+ * machines themselves ([FakeWorker.cutUntil] and others). Initially there are no faults.
  */
 class NetworkFaults {
-    /** Whether a heartbeat of the worker reaches that controller; where it can't connect, none arrives, not even late. */
+    /** Whether the worker can connect to the controller; if not, none of its heartbeats arrives there, not even late. */
     var reachesController: (FakeWorker, SimulatedController) -> Boolean = { _, _ -> true }
 
-    /** Whether the worker gets the controller's commands and responses; the others are lost. */
+    /** Whether the worker receives the controller's commands and responses; if not, they are lost. */
     var reachesWorker: (FakeWorker, SimulatedController) -> Boolean = { _, _ -> true }
 
-    /** Whether direct commands reach the worker; responses to its heartbeats may all the same. */
+    /** Whether direct commands reach the worker; responses to its heartbeats are not affected. */
     var commandsReach: (FakeWorker) -> Boolean = { true }
 
     /** Whether the response to a write that was applied is lost. */
     var writeResponseLost: (List<Change>) -> Boolean = { false }
 
-    /** By how many milliseconds a heartbeat is delayed; null: the usual latency. */
+    /** Delay of a heartbeat, in milliseconds; null for the usual latency. */
     var heartbeatDelayMs: (Heartbeat) -> Long? = { null }
 
-    /** A message between controllers and workers takes up to so many milliseconds longer. */
+    /** Maximum additional latency of a message between controllers and workers, in milliseconds. */
     var maxExtraLatencyMs = 0
 
-    /** Connections across a network partition are reset, so that no message is delayed by it. */
+    /** Whether connections across a network partition are reset, so that the partition delays no message. */
     var resetsConnections = false
 
-    /** Until then an overloaded leader handles heartbeats, but its responses come too late. Commands pass. */
+    /** Time until which an overloaded leader handles heartbeats but responds too late; commands are not affected. */
     var responsesLateUntil = 0L
 
-    /** From [responsesLateUntil] until then the leader does not even read heartbeats. */
+    /** Time until which, from [responsesLateUntil] on, the leader does not even read heartbeats. */
     var heartbeatsUnreadUntil = 0L
 
-    /** All that the leader elected next sends to workers is lost. */
+    /** Whether all messages from the next elected leader to workers are lost. */
     var nextLeaderLosesMessages = false
 
-    /** Of these heartbeats a copy arrives once more, up to two leases later. */
+    /** Percentage of heartbeats of which a copy arrives again, up to about two worker leases later. */
     var repeatedHeartbeatPercent = 0
 
-    /** Of these heartbeats a copy is recorded, and reaches the next leader among its first. */
+    /** Percentage of heartbeats of which a copy is recorded and reaches the next leader among its first heartbeats. */
     var recordedHeartbeatPercent = 0
 
-    /** These commands are delayed by seconds, and not answered. */
+    /** Percentage of commands that are delayed by seconds and not answered. */
     var delayedCommandPercent = 0
 
-    /** These writes are not answered, and applied some seconds late. */
+    /** Percentage of writes that are not answered and are applied some seconds late. */
     var lateWritePercent = 0
 
-    /** These writes are not answered, though they are applied at once. */
+    /** Percentage of writes that are not answered although they are applied at once. */
     var unansweredWritePercent = 0
 
+    /** Draws the additional latency of one message; draws nothing if [maxExtraLatencyMs] is 0. */
     fun extraLatency(random: Random): Long = if (maxExtraLatencyMs > 0) random.nextInt(maxExtraLatencyMs).toLong() else 0L
 }
--- a/src/main/kotlin/org/honeyjunction/simulation/Scenario.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/Scenario.kt
@@ -5,7 +5,7 @@
 import org.honeyjunction.fake.Fault
 import org.honeyjunction.fake.PlannedJob
 
-/** A run of a large fleet in virtual time: jobs and faults at their times, one leader after the other. */
+/** Simulates a large fleet in virtual time, with jobs and faults at scheduled times and one leader at a time. */
 class Scenario(
     setup: ClusterSetup,
     machines: Int,
@@ -48,7 +48,7 @@
             is Fault.Whom.Shared -> target.toString().lowercase()
         }
 
-    /** Runs until all jobs but services have ended, a rule is broken, or [withinMs] have passed. */
+    /** Runs until all jobs except services have ended, a check has failed, or [withinMs] have passed. */
     fun run(withinMs: Long) {
         val lastSubmittedAt = planned.maxOfOrNull { it.atMs } ?: 0
         while (cluster.now < withinMs && cluster.broken.isEmpty()) {
@@ -59,16 +59,17 @@
         }
     }
 
+    /** Summary of the cluster's present state, for the log. */
     fun status(): String {
         val workers = cluster.workers.values
         val now = cluster.now
         val silent = workers.count { it.silent(now) || now < it.cutUntil }
         val running = workers.filter { it.holds(now) }.sumOf { worker -> worker.tasks.values.count { it.live } }
         return "machines ${workers.size}, silent $silent, tasks on machines $running, jobs ${cluster.state.jobs.size} active, " +
-            "${cluster.state.terminalRecords.size} over, rented ${cluster.cloud.totalRented}, given back ${cluster.cloud.releases}"
+            "${cluster.state.terminalRecords.size} ended, rented ${cluster.cloud.totalRented}, released ${cluster.cloud.releases}"
     }
 
-    /** The jobs without a final answer, but for services; those not submitted yet count, whatever their kind. */
+    /** Ids of the active jobs, except services, and of all jobs that are not submitted yet, including services. */
     fun unfinished(): List<String> {
         val specs = planned.map { it.work.spec }
         val active = specs.filter { it.kind != JobKind.SERVICE && it.id !in cluster.state.terminalRecords && it.id in cluster.state.jobs }
--- a/src/main/kotlin/org/honeyjunction/simulation/ScenarioFaults.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/ScenarioFaults.kt
@@ -5,6 +5,7 @@
 
 /** Injects the faults of a [Scenario] into its cluster, and ends them when their time is over. */
 class ScenarioFaults(private val cluster: SimulatedCluster) {
+    /** Injects [fault] now, and schedules its end. */
     fun inject(fault: Fault) {
         when (val target = fault.whom) {
             Fault.Whom.State -> {
@@ -22,12 +23,15 @@
             Fault.Whom.Boots -> injectIntoBoots(fault)
             is Fault.Whom.Nodes -> injectIntoLeader(fault)
             is Fault.Whom.Hosts -> injectIntoMachines(fault, target)
-            // Users do not query here, some writes are always late, and the machine list always lags.
+            // Nothing to inject: simulated users do not query, some writes are always late, and the machine list always lags.
             is Fault.Whom.Shared -> Unit
         }
     }
 
-    /** One leader acts here at a time: whichever node is meant, its successor is elected when its lease has expired. */
+    /**
+     * Only one leader is simulated at a time, so that a fault of any node affects the leader; its successor is elected when its
+     * lease has expired.
+     */
     private fun injectIntoLeader(fault: Fault) =
         when (fault.what) {
             Fault.What.REFUSE, Fault.What.ISOLATE -> cluster.isolateLeader()
--- a/src/main/kotlin/org/honeyjunction/simulation/ServiceLevelRecorder.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/ServiceLevelRecorder.kt
@@ -6,12 +6,12 @@
 import org.honeyjunction.core.model.MachineType
 
 /**
- * What users notice of a [Scenario], and what it costs: replicas that run, waiting times, money. Sampled once in a second of
- * virtual time. Replicas of a service count [graceMs] after it was submitted.
+ * Records the service levels and the cost of a [Scenario]: running replicas, waiting times, money. Sampled once per second of
+ * virtual time. Replicas of a service count from [graceMs] after its submission.
  */
 class ServiceLevelRecorder(private val cluster: SimulatedCluster, private val type: MachineType, private val graceMs: Long) {
     private class TrackedJob(val spec: JobSpec, val submittedAt: Long) {
-        /** When all its tasks had started; null: not yet. */
+        /** Time at which all tasks of the job had started; null if some have not. */
         var startedAt: Long? = null
     }
 
@@ -29,11 +29,12 @@
     /** The share of paid accelerator time in which the accelerators were in use. */
     val utilization get() = if (paidGpuS == 0.0) 0.0 else usedGpuS / paidGpuS
 
+    /** Records that the job [spec] was submitted now. */
     fun submitted(spec: JobSpec) {
         jobs += TrackedJob(spec, cluster.now)
     }
 
-    /** Takes the sample of one second. */
+    /** Takes the sample of one second; must be called once per second. */
     fun sample() {
         val held = cluster.workers.values.filter { it.holds(cluster.now) }
         val running = held.flatMap { worker -> worker.tasks.values.filter { it.state == TaskState.Running } }
@@ -62,7 +63,7 @@
     /** The share of the wanted replica time in which the replicas ran. */
     fun availability(): Double = availability(replicas)
 
-    /** The same in the worst [seconds] of all. */
+    /** The lowest availability in any [seconds] consecutive seconds. */
     fun worstAvailability(seconds: Int): Double = replicas.windowed(seconds).minOfOrNull(::availability) ?: 1.0
 
     private fun availability(samples: List<ReplicaSample>): Double {
@@ -70,7 +71,10 @@
         return if (wanted == 0) 1.0 else samples.sumOf { it.running }.toDouble() / wanted
     }
 
-    /** Seconds until all tasks of a job of [kind] had started: the median, nine in ten, the most; null where one never did. */
+    /**
+     * Seconds from submission until all tasks of a job of [kind] had started: median, 90th percentile and maximum; null where
+     * that job has tasks that never started.
+     */
     fun waitQuantiles(kind: JobKind): List<Double?> {
         val waits = jobs.filter { it.spec.kind == kind }.map(::waitS).sorted()
         if (waits.isEmpty()) return listOf(null, null, null)
--- a/src/main/kotlin/org/honeyjunction/simulation/SimulatedCloud.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/SimulatedCloud.kt
@@ -14,18 +14,23 @@
 ) {
     private class BootingMachine(val readyAt: Long, val zone: String, val spot: Boolean)
 
+    /** Whether the provider is unavailable: requests to it fail, and it lists no machines. */
     var down = false
 
-    /** Machines rented from now on take so many times as long to boot. */
+    /** Factor on the boot time of machines rented from now on. */
     var bootFactor = 1.0
 
-    /** One in so many machines rented from now on never comes up, but is paid for; 0: all come up. */
+    /** One in this many machines rented from now on never comes up, but is paid for; 0 if all come up. */
     var bootFailsOneIn = 0
 
-    /** Lists are up to twice as old as they usually are, and may arrive in any order. */
+    /** Whether machine lists are up to twice as old as usual, and may arrive out of order. */
     var extraListLag = false
+
+    /** Number of machines rented so far. */
     var totalRented = 0
         private set
+
+    /** Number of machines in all release requests so far, including failed requests. */
     var releases = 0
         private set
 
@@ -37,17 +42,17 @@
     private val booting = LinkedHashMap<String, BootingMachine>()
     private var lastName = 0
 
-    /** Number of machines that are paid for and not up. */
+    /** Number of machines that are paid for but not up yet. */
     val bootingCount get() = booting.size
 
-    /** Number of machines that are paid for, up or booting: ordinary ones and spot ones. */
+    /** Numbers of on-demand and of spot machines that are paid for, whether up or booting. */
     fun paid(): Pair<Int, Int> {
         val up = context.workers.values.filter { !it.dead }
         val spot = up.count { it.box.spot } + booting.values.count { it.spot }
         return up.size + booting.size - spot to spot
     }
 
-    /** A repeated request is idempotent: it gets the machines of the first one. One response in ten is lost. */
+    /** Rents machines. Requests are idempotent: a repeated one gets the machines of the first. One response in ten is lost. */
     fun scaleOut(controller: SimulatedController, effect: Effect.ScaleOut) {
         if (down) return controller.run { scaleOutOutcomeUnknown(effect.request, context.now) }
         val names = rentals.getOrPut(effect.request) { newMachineNames(effect.count) }
@@ -78,7 +83,7 @@
 
     private fun bootMs() = (context.setup.type.bootS * bootFactor * (600 + context.random.nextInt(600))).toLong()
 
-    /** A release is meant for machines that were this leader's when it was sent. */
+    /** Releases machines, even if [controller] has lost the leadership since it sent the request. */
     fun scaleIn(controller: SimulatedController, effect: Effect.ScaleIn) {
         releases += effect.machines.size
         val released = !down
@@ -91,7 +96,7 @@
         context.after(RESPONSE_MS) { controller.run { scaleInCompleted(effect.machines, released, context.now) } }
     }
 
-    /** The list of all machines as of now reaches [controller] after the usual lag. */
+    /** Sends the list of all machines as of now to [controller]; the list arrives after the usual lag. */
     fun list(controller: SimulatedController) {
         val type = context.setup.type.name
         val up = context.workers.values.map { ListedMachine(it.name, ADDRESS, type, it.box.zone, it.box.spot, it.dead, 9.0) }
@@ -102,7 +107,7 @@
         context.after(lagMs + extraMs) { controller.run { machinesListed(machines, context.now) } }
     }
 
-    /** Machines that have booted by now become workers. */
+    /** Turns the machines that have booted by now into workers. */
     fun finishBoots() {
         booting.filterValues { it.readyAt <= context.now }.forEach { (name, machine) ->
             booting.remove(name)
--- a/src/main/kotlin/org/honeyjunction/simulation/SimulatedCluster.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/SimulatedCluster.kt
@@ -10,8 +10,9 @@
 import org.honeyjunction.fake.Gangs
 
 /**
- * The core of leaders in virtual time against fakes of the state service, the cloud, the workers and the users. After every
- * step [ClusterChecks] asserts the protocol's rules; violations are found in [broken]. A seed always gives the same run.
+ * Simulates the core of leaders in virtual time against fakes of the state service, the cloud, the workers and the users. After
+ * every step [ClusterChecks] checks the protocol's invariants; violations are collected in [broken]. The same seed always gives
+ * the same run.
  */
 class SimulatedCluster(seed: Long, capacity: Int = 12, private val setup: ClusterSetup = ClusterSetup(), rules: RuleSet = RuleSet.NONE) {
     private val context = SimulationContext(seed, setup)
@@ -32,7 +33,7 @@
     val history get() = context.history
     val leader get() = context.leader
 
-    /** Violations of the protocol's rules so far. */
+    /** Violations of the protocol's invariants so far. */
     val broken get() = history.broken
 
     /** Number of task starts so far. */
@@ -47,7 +48,7 @@
     /** Runs [action] after [delayMs] of virtual time. */
     fun after(delayMs: Long, action: () -> Unit) = context.after(delayMs, action)
 
-    /** Runs on for [forMs] of virtual time. */
+    /** Runs the simulation for [forMs] of virtual time. */
     fun run(forMs: Long) {
         val end = now + forMs
         while (now < end) step()
@@ -62,16 +63,16 @@
         checks.check()
     }
 
-    /** From now on no job may wait for long beside machines with room: the time of faults is over. */
+    /** Called after the last fault: from now on no job may wait for long although machines have room for it. */
     fun requireWorkConservation() = checks.requireWorkConservation()
 
-    /** New placement rules, for the present leader and for all later ones. */
+    /** Applies new placement rules to the present leader and to all later ones. */
     fun apply(rules: RuleSet) {
         checks.rules = rules
         leader?.run { useRules(rules) }
     }
 
-    /** A new term begins; the old leader's writes do not count any more, though it may not know. */
+    /** Elects a leader for a new term. Writes of the previous leader are refused from now on, though it may not know yet. */
     fun elect() {
         state.term++
         val elected = SimulatedController(state.term, checks.rules, context, effects::execute)
@@ -80,35 +81,35 @@
         elected.tick()
     }
 
-    /** The leader ends, and another takes the term at once. */
+    /** The leader stops, and another is elected at once. */
     fun handOver() {
         leader?.alive = false
         elect()
     }
 
-    /** The leader ends, and another takes the term when its lease has expired. */
+    /** The leader crashes, and another is elected when its lease has expired. */
     fun crash() {
         leader?.alive = false
         after(LEADER_LEASE_MS) { elect() }
     }
 
     /**
-     * The leader reaches neither the state service nor the cloud nor other controllers; its workers stay with it as long as
-     * it answers them.
+     * Isolates the leader from the state service, the cloud and the other controllers; another is elected when its lease has
+     * expired. Workers stay with the isolated leader as long as it responds to them.
      */
     fun isolateLeader() {
         leader?.isolated = true
         after(LEADER_LEASE_MS) { elect() }
     }
 
-    /** The leader's process is suspended for [forMs]; another takes the term when its lease has expired. */
+    /** Suspends the leader's process for [forMs]; another leader is elected if its lease expires meanwhile. */
     fun freeze(forMs: Long) {
         val frozen = leader ?: return
         frozen.frozenUntil = now + forMs
         if (forMs > LEADER_LEASE_MS) after(LEADER_LEASE_MS + 400) { if (frozen === leader && !state.down) elect() }
     }
 
-    /** All machines of [zone] that are up lose the network together. */
+    /** Disconnects all machines of [zone] that are up from the network for [forMs]. */
     fun disconnectZone(zone: String, forMs: Long) = machinesUpIn(zone).forEach { it.cutUntil = now + forMs }
 
     /** The names of the machines of [zone] that are up. */
@@ -163,15 +164,17 @@
         )
     }
 
+    /** Submits the job [spec] and returns its id. */
     fun submit(spec: JobSpec): String = users.submit(spec)
 
+    /** Sends one cancellation of job [id] to the present leader. */
     fun cancel(id: String) = users.cancel(id)
 
-    /** The user repeats the cancellation until it is confirmed, whoever leads. */
+    /** Repeats the user's cancellation until it is confirmed, by whichever leader. */
     fun cancelUntilConfirmed(id: String) = users.cancelUntilConfirmed(id)
 
     companion object {
-        /** Of the leader, in the state service; milliseconds. */
+        /** Duration of the leader's lease in the state service. */
         const val LEADER_LEASE_MS = 5_000L
         private const val STEP_MS = 20L
         private const val LIST_MS = 3_000L
--- a/src/main/kotlin/org/honeyjunction/simulation/SimulatedController.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/SimulatedController.kt
@@ -5,23 +5,29 @@
 import org.honeyjunction.core.control.messages.Effect
 import org.honeyjunction.core.rules.RuleSet
 
-/** One leader's process. A deposed leader that does not know it yet goes on acting, as a real one would. */
+/** The process of one leader. A deposed leader that does not know it yet continues to act, as a real one would. */
 class SimulatedController(
     val term: Long,
     rules: RuleSet,
     private val context: SimulationContext,
     private val execute: (SimulatedController, Effect) -> Unit,
 ) {
+    /** Whether the process runs and still considers itself the leader. */
     var alive = true
+
+    /** Whether workers can reach this controller. */
     var reachable = true
 
-    /** Reaches neither the other controllers nor the state service nor the cloud; what it sends to these two arrives late. */
+    /**
+     * Whether this controller can't reach other controllers, the state service and the cloud; its requests to the latter two
+     * arrive late.
+     */
     var isolated = false
 
-    /** The state service refuses this controller alone, which reaches all others. */
+    /** Whether the state service refuses requests of this controller only, which can still reach everything else. */
     var refused = false
 
-    /** All that it sends to workers is lost. */
+    /** Whether all messages from this controller to workers are lost. */
     var messagesToWorkersLost = context.network.nextLeaderLosesMessages
 
     val leader =
@@ -38,7 +44,7 @@
             listOf(PEER),
         ).also { it.leaderLeaseRenewed(context.now + SimulatedCluster.LEADER_LEASE_MS, context.now) }
 
-    /** The process is suspended until then while its clocks run on: what happens meanwhile is handled afterwards, in order. */
+    /** The process is suspended until this time while its clocks run on; its inputs until then are handled afterwards, in order. */
     var frozenUntil = 0L
 
     /** Lets the leader handle one input, and executes the effects that follow from it. */
@@ -49,7 +55,7 @@
         for (effect in leader.drainEffects()) execute(this, effect)
     }
 
-    /** Renews the lease where the state service can be reached, and lets the leader do its periodic work. */
+    /** Renews the lease if the state service can be reached, and lets the leader do its periodic work. */
     fun tick() {
         if (!alive) return
         if (context.now < frozenUntil) return context.after(frozenUntil - context.now) { tick() }
@@ -60,7 +66,7 @@
         context.after(TICK_MS) { tick() }
     }
 
-    /** The other controllers have been up all the time, and know the latest term. */
+    /** The simulated peer has been up all the time and knows the latest term: it deposes or confirms this leader. */
     private fun confirmByPeers() {
         if (term < context.state.term) alive = false else run { peerConfirmed(PEER, context.now, context.now, context.now) }
     }
--- a/src/main/kotlin/org/honeyjunction/simulation/SimulationContext.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/SimulationContext.kt
@@ -4,7 +4,7 @@
 import org.honeyjunction.fake.HistoryChecker
 import java.util.Random
 
-/** What all parts of one [SimulatedCluster] share. The single [random] makes a run repeatable: the order of its draws matters. */
+/** State shared by all parts of one [SimulatedCluster]. The single [random] makes a run repeatable if the order of draws stays the same. */
 class SimulationContext(seed: Long, val setup: ClusterSetup) {
     val random = Random(seed)
     val events = EventQueue()
@@ -17,12 +17,13 @@
     var leader: SimulatedController? = null
     val now get() = events.now
 
+    /** Schedules [run] for [delayMs] from now. */
     fun after(delayMs: Long, run: () -> Unit) = events.after(delayMs, run)
 
-    /** Of one message between two sound processes, in milliseconds. */
+    /** Draws the latency of one message between two healthy processes, in milliseconds. */
     fun latency() = 2L + random.nextInt(20)
 
-    /** How long a message of a partitioned controller is delayed by the network, in milliseconds. */
+    /** Draws how long the network delays a message of a partitioned controller, in milliseconds. */
     fun partitionDelay() = 15_000L + random.nextInt(30_000)
 
     /** True in [percent] of a hundred cases; draws nothing if [percent] is 0. */
--- a/src/main/kotlin/org/honeyjunction/simulation/VirtualEventLoop.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/VirtualEventLoop.kt
@@ -16,7 +16,10 @@
 import org.honeyjunction.io.Listener
 import kotlin.coroutines.CoroutineContext
 
-/** A process's clocks: its steady one starts anywhere and runs a little fast or slow, its time of day is off by [skewMs]. */
+/**
+ * Clocks of a simulated process: the steady clock has an arbitrary origin and runs fast by the fraction [drift] (slow if
+ * negative), the wall clock is off by [skewMs].
+ */
 class VirtualClock(private val time: VirtualTime, private val drift: Double = 0.0, private val skewMs: Long = 0) : Clock {
     override fun steady() = STEADY_ORIGIN_MS + (time.now * (1 + drift)).toLong()
 
@@ -29,8 +32,8 @@
 }
 
 /**
- * A process in virtual time, whose connections are those of [net]. It can be killed, after which nothing of it ever runs,
- * and it can stand still while its clocks run on: what came meanwhile is done afterwards, in its order.
+ * Event loop of a simulated process in virtual time, which connects through [net]. The process can be killed, after which none of
+ * its code runs, and suspended while its clocks run on: events that are due meanwhile are handled afterwards, in order.
  */
 @OptIn(InternalCoroutinesApi::class)
 class VirtualEventLoop private constructor(
@@ -46,7 +49,7 @@
         onFailure: (Throwable) -> Unit,
     ) : this(name, net, clock, Process(net.time, onFailure))
 
-    /** What several names of one process share. */
+    /** State shared by all host names of one process. */
     private class Process(private val time: VirtualTime, onFailure: (Throwable) -> Unit) :
         CoroutineDispatcher(),
         Delay {
@@ -88,7 +91,7 @@
 
     override fun withHostName(name: String): EventLoop = VirtualEventLoop(name, net, clock, process)
 
-    /** As a process that is killed: its connections are reset by its machine. */
+    /** Kills the process; the network closes its connections and listeners. */
     override fun close() {
         process.dead = true
         net.closeAll(name)
--- a/src/main/kotlin/org/honeyjunction/simulation/VirtualNetwork.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/VirtualNetwork.kt
@@ -12,18 +12,19 @@
 import kotlin.coroutines.resumeWithException
 
 /**
- * Connections in virtual time between whoever has a name. A way from one name to another can be cut for a while, in either
- * of three forms.
+ * A network in virtual time between hosts that are identified by name. Each direction between two hosts can be partitioned for
+ * some time, in one of three ways.
  */
 class VirtualNetwork(val time: VirtualTime, private val random: Random) {
+    /** What happens to messages and connections across a partition. */
     enum class PartitionMode {
-        /** Packets are held back and delivered in order afterwards, whoever still waits for them. */
+        /** Packets are held back and delivered in order afterwards, even if the receiver no longer waits for them. */
         DELAY,
 
         /** Connections are reset and new ones refused. */
         RESET,
 
-        /** What is sent is lost, and with it all that the same connection would have carried later. */
+        /** Packets are lost, together with everything that the same connection would have carried later. */
         DROP,
     }
 
@@ -34,7 +35,7 @@
     private val open = LinkedHashSet<VirtualConnection>()
     private var nextPort = FIRST_PORT
 
-    /** The one way from those whom [from] means to those whom [to] means. */
+    /** Partitions, for [forMs], the direction from the hosts that match [from] to the hosts that match [to]. */
     fun partition(from: (String) -> Boolean, to: (String) -> Boolean, mode: PartitionMode, forMs: Long) {
         rules += PartitionRule(from, to, mode, time.now + forMs)
         if (mode == PartitionMode.RESET) {
@@ -42,7 +43,7 @@
         }
     }
 
-    /** Both ways between [one] and [others]. */
+    /** Partitions both directions between [one] and the hosts that match [others]. */
     fun partitionBetween(one: String, others: (String) -> Boolean, mode: PartitionMode, forMs: Long) {
         partition({ it == one }, others, mode, forMs)
         partition(others, { it == one }, mode, forMs)
@@ -53,19 +54,22 @@
         return rules.lastOrNull { it.from(from) && it.to(to) }
     }
 
+    /** An unused loopback address. */
     fun newAddress(): String = "127.0.0.1:${nextPort++}"
 
+    /** Listens for connections to host [name] at [address]; port 0 chooses an unused one. */
     fun listen(name: String, address: String): Listener {
         val at = if (address.endsWith(":0")) newAddress() else address
-        if (listeners[at]?.isOpen == true) throw IOException("$at is taken")
+        if (listeners[at]?.isOpen == true) throw IOException("address $at is already in use")
         return VirtualListener(name, at).also { listeners[at] = it }
     }
 
+    /** Connects from host [from] to the listener at [address]; waits while a partition delays or drops packets. */
     suspend fun connect(from: String, address: String): Connection {
         while (true) {
             delay(latency())
             val listener = listeners[address]?.takeIf { it.isOpen } ?: throw IOException("Connection refused")
-            // The first packet and its answer must both get through; held or lost ones are sent again.
+            // The first packet and its response must both be delivered; delayed or lost ones are sent again.
             val rule = ruleFor(from, listener.name) ?: ruleFor(listener.name, from)
             if (rule?.mode == PartitionMode.RESET) throw IOException("Connection refused")
             if (rule != null) {
@@ -83,7 +87,7 @@
         }
     }
 
-    /** All connections and listeners of [name] are gone. */
+    /** Closes all connections and listeners of host [name]. */
     fun closeAll(name: String) {
         listeners.values.filter { it.name == name }.forEach { it.close() }
         open.filter { it.localName == name }.forEach { it.close() }
@@ -91,12 +95,14 @@
 
     private fun latency() = 1L + random.nextInt(3)
 
+    /** A listening socket of host [name]. */
     inner class VirtualListener(val name: String, override val address: String) : Listener {
         private val pending = ArrayDeque<VirtualConnection>()
         private var waiting: CancellableContinuation<Connection>? = null
         override var isOpen = true
             private set
 
+        /** Hands [connection] to a waiting [accept], or queues it. */
         fun offer(connection: VirtualConnection) {
             val next = waiting
             waiting = null
@@ -112,6 +118,7 @@
         }
     }
 
+    /** The end at host [localName] of a connection to host [remoteName]. */
     inner class VirtualConnection(val localName: String, val remoteName: String) : Connection {
         lateinit var peer: VirtualConnection
         private val received = ArrayDeque<ByteArray>()
@@ -122,7 +129,7 @@
         private var reader: CancellableContinuation<Int>? = null
         private var readBuffer: ByteBuffer? = null
 
-        /** On its way to the other end, in order; it moves on when the way is open. */
+        /** Data on the way to the peer, in order; null is the end of the stream. Delivery waits while a partition delays packets. */
         private val outgoing = ArrayDeque<ByteArray?>()
         private var dropping = false
         private var deliveryScheduled = false
@@ -198,6 +205,7 @@
             send(null)
         }
 
+        /** Breaks this end, as when the network resets the connection. */
         fun reset() {
             wasReset = true
             open -= this
--- a/src/main/kotlin/org/honeyjunction/simulation/VirtualTime.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/VirtualTime.kt
@@ -2,7 +2,10 @@
 
 import java.util.PriorityQueue
 
-/** Time that passes only from one thing that is due to the next; what is due at one moment comes in the order in which it was asked for. */
+/**
+ * Virtual time, which advances from one scheduled event to the next. Events that are due at the same moment run in the order in
+ * which they were scheduled.
+ */
 class VirtualTime {
     private class Event(val at: Long, val order: Long, var run: (() -> Unit)?)
 
@@ -13,17 +16,18 @@
     var now = 0L
         private set
 
-    /** How much was done so far. */
+    /** Number of events that have run so far. */
     var executedEvents = 0L
         private set
 
-    /** Does [run] at a moment, unless what is returned is called before. */
+    /** Schedules [run] for [moment] (now if that is past). Returns a function that cancels the event. */
     fun schedule(moment: Long, run: () -> Unit): () -> Unit {
         val event = Event(maxOf(moment, now), order++, run)
         queue += event
         return { event.run = null }
     }
 
+    /** Runs all events that are due by [end], and advances the time to [end]. */
     fun runUntil(end: Long) {
         while (queue.isNotEmpty() && queue.peek().at <= end) {
             val event = queue.poll()
--- a/src/main/kotlin/org/honeyjunction/simulation/WorkConservationChecker.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/WorkConservationChecker.kt
@@ -7,15 +7,17 @@
 import org.honeyjunction.fake.FakeWorker
 
 /**
- * No job may wait for more than [MAX_WAIT_MS] while machines that fit have room and its team is under its limit. Judged by the
- * tasks that really are on the machines, so that a leader's wrong belief about them shows. In difference to
- * `fake.WorkConservationCheck` it takes the jobs as the leader has them, and a change meanwhile does not begin the wait anew.
+ * Reports each job that waits for more than [MAX_WAIT_MS] while suitable machines have room and its team is under its limit. The
+ * check counts the tasks that really are on the machines, so that a wrong belief of the leader about them is detected. Unlike
+ * `fake.WorkConservationCheck`, this check takes the jobs from the leader's state, and a change of a waiting job does not restart
+ * its waiting time.
  */
 class WorkConservationChecker(private val limits: Map<String, Resources>, private val reportViolation: (Long, String) -> Unit) {
     private class Running(val worker: FakeWorker, val task: FakeWorker.Task)
 
     private val waitingSince = HashMap<String, Long>()
 
+    /** Checks the leader's [jobs] against the [workers] as they are [now]. */
     fun check(jobs: Collection<Job>, workers: Collection<FakeWorker>, now: Long) {
         val healthyWorkers = workers.filter { isHealthy(it, now) }
         val live = workers.filter { it.holds(now) }.flatMap { worker -> worker.tasks.values.filter { it.live }.map { Running(worker, it) } }
@@ -33,7 +35,7 @@
         waitingSince.keys.retainAll(ids)
         for (id in ids) {
             val since = waitingSince.getOrPut(id) { now }
-            if (now - since > MAX_WAIT_MS) reportViolation(now, "waits: $id beside room since $since")
+            if (now - since > MAX_WAIT_MS) reportViolation(now, "waits: $id although machines have room, since $since")
         }
     }
 
@@ -55,7 +57,7 @@
         return (if (spec.oneZone) room.values.maxOrNull() ?: 0 else room.values.sum()) >= count
     }
 
-    /** [zones]: how many tasks the job has in each zone. */
+    /** [zones] counts the tasks that the job has in each zone. */
     private fun mayRunOn(spec: JobSpec, worker: FakeWorker, zones: Map<String, Int>): Boolean {
         val box = worker.box
         return when {
@@ -69,6 +71,7 @@
     }
 
     companion object {
+        /** Longest time that a job may wait while it could be started. */
         const val MAX_WAIT_MS = 90_000L
     }
 }
--- a/src/main/kotlin/org/honeyjunction/simulation/WorkerNetwork.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/WorkerNetwork.kt
@@ -11,15 +11,15 @@
     private val faults = context.network
     private val nextHeartbeatAt = HashMap<String, Long>()
 
-    /** The controller to which each worker sends its heartbeats, until that one responds no more. */
+    /** The controller to which each worker sends its heartbeats, until that controller no longer responds. */
     private val currentControllers = HashMap<String, SimulatedController>()
     private val recorded = ArrayList<Heartbeat>()
 
-    /** How often the first heartbeat that a leader got from a machine was a stale copy. */
+    /** How often the first heartbeat that a leader received from a machine was a stale copy. */
     var staleFirstHeartbeats = 0
         private set
 
-    /** Copies of old heartbeats reach the new leader [controller] among the first that it gets. */
+    /** Delivers the recorded copies of old heartbeats to the new leader [controller], among its first heartbeats. */
     fun replayRecordedHeartbeats(controller: SimulatedController) {
         recorded.forEach { heartbeat ->
             val delay = if (context.random.nextBoolean()) 0 else context.random.nextInt(REPLAY_WITHIN_MS).toLong()
@@ -34,7 +34,7 @@
         leader.answerHeartbeat(heartbeat, context.now)
     }
 
-    /** Time passes for all workers; those whose heartbeat is due send it. */
+    /** Advances all workers to the present time, and sends the heartbeats that are due. */
     fun advanceWorkers() {
         for (worker in context.workers.values.toList()) {
             worker.advance(context.now)
@@ -58,7 +58,7 @@
         context.after(delay) { receiveHeartbeat(worker, heartbeat, sentAt) }
     }
 
-    /** A heartbeat that is delayed arrives late, at whoever holds the leader lease by then. */
+    /** Draws the delay of a heartbeat. The receiving controller is chosen when the heartbeat arrives. */
     private fun heartbeatDelay(worker: FakeWorker, heartbeat: Heartbeat): Long {
         faults.heartbeatDelayMs(heartbeat)?.let { return it }
         if (context.now < worker.cutUntil) return worker.cutUntil - context.now + context.random.nextInt(20_000)
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Commands reach the worker, or arrive much later (delayed by a partition or a hanging machine), or are lost. */
+    /** Sends commands, which reach the worker, arrive much later (delayed by a partition or a hanging machine), or are lost. */
     fun send(controller: SimulatedController, effect: Effect.Send) {
         val worker = context.workers[effect.machine]
         checkStarts(controller, effect)
@@ -145,7 +145,7 @@
     }
 
     private companion object {
-        /** By then a new leader has a heartbeat of every machine that can reach it. */
+        /** Time within which a new leader has received a heartbeat from every machine that can reach it. */
         const val REPLAY_WITHIN_MS = 3_000
         const val LATE_RESPONSE_MS = 5_000L
         const val RESPONSE_TIMEOUT_MS = 4_000L
