--- a/src/main/kotlin/org/honeyjunction/simulation/FakeStateService.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/FakeStateService.kt
@@ -19,7 +19,7 @@
     /** The latest term; writes of earlier terms are refused. */
     var term = 0L
 
-    /** Whether the service is unavailable: reads and writes fail. */
+    /** Whether the service is unavailable: writes and reads of job records fail. */
     var down = false
     private var revision = 0L
 
--- a/src/main/kotlin/org/honeyjunction/simulation/SimulatedController.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/SimulatedController.kt
@@ -15,7 +15,7 @@
     /** Whether the process runs and still considers itself the leader. */
     var alive = true
 
-    /** Whether workers can reach this controller. */
+    /** Whether messages between this controller and the workers arrive in time; if not, heartbeats are lost and commands late. */
     var reachable = true
 
     /**
