--- a/src/main/kotlin/org/honeyjunction/io/HttpClient.kt
+++ b/src/main/kotlin/org/honeyjunction/io/HttpClient.kt
@@ -12,59 +12,62 @@
 import java.nio.ByteBuffer
 
 /** No response arrived: the request may have been executed, or may still be executed later. */
-class NoAnswerException(message: String, cause: Throwable? = null) : IOException(message, cause)
+class NoResponseException(message: String, cause: Throwable? = null) : IOException(message, cause)
 
-/** HTTP client of one address; [connections] may be shared with other addresses. A response's body has [bodyLimit] bytes at most. */
-class HttpClient(private val connections: Connections, private val address: String, bodyLimit: Int = 4 * 1024 * 1024) {
+/**
+ * HTTP client for one address; [connections] may be shared with clients of other addresses. A response body may have at most
+ * [bodyLimit] bytes.
+ */
+class HttpClient(private val connections: ConnectionPool, private val address: String, bodyLimit: Int = 4 * 1024 * 1024) {
     private val limits = HttpLimits(maxBodyBytes = bodyLimit)
 
     /**
      * Sends one request and waits up to [timeoutMs] for the response.
      *
-     * [still] is asked once there is a connection, just before anything is sent: the caller may no longer be entitled to the
-     * request by then, for instance because it lost the leader lease.
+     * [maySend] is called once a connection is open, just before anything is sent: by then the caller may no longer be entitled
+     * to send the request, for instance because it lost the leader lease.
      *
-     * @throws NoAnswerException in every case without a whole response
+     * @throws NoResponseException whenever no complete response arrives
      */
     suspend fun send(
         method: String,
         path: String,
         body: ByteArray = Response.NO_BODY,
         timeoutMs: Long,
-        still: () -> Boolean = { true },
+        maySend: () -> Boolean = { true },
     ): Response =
         try {
-            withTimeout(timeoutMs) { exchange(Request(method, path, body), still) }
+            withTimeout(timeoutMs) { exchange(Request(method, path, body), maySend) }
         } catch (e: TimeoutCancellationException) {
-            throw NoAnswerException("no answer from $address within $timeoutMs ms", e)
-        } catch (e: NoAnswerException) {
+            throw NoResponseException("no answer from $address within $timeoutMs ms", e)
+        } catch (e: NoResponseException) {
             throw e
         } catch (e: IOException) {
-            throw NoAnswerException("no answer from $address: ${e.message}", e)
+            throw NoResponseException("no answer from $address: ${e.message}", e)
         }
 
-    private suspend fun exchange(request: Request, still: () -> Boolean): Response {
-        val channel = connections.take(address)
+    private suspend fun exchange(request: Request, maySend: () -> Boolean): Response {
+        val connection = connections.acquire(address)
         var reusable = false
         try {
-            if (!still()) throw NoAnswerException("not sent to $address: it is over")
-            channel.write(HttpWriter.request(address, request))
-            val message = read(channel)
-            val status = message.startLine[1].toIntOrNull() ?: throw IOException("bad status")
+            if (!maySend()) throw NoResponseException("request to $address not sent: the sender is no longer entitled to send it")
+            connection.write(HttpWriter.request(address, request))
+            val message = read(connection)
+            val status = message.startLine[1].toIntOrNull() ?: throw IOException("invalid status code in the response")
             reusable = !message.closesConnection
-            if (reusable) connections.keep(address, channel)
+            if (reusable) connections.release(address, connection)
             return Response(status, message.body, message.headers["retry-after"]?.toIntOrNull())
         } finally {
-            if (!reusable) channel.close()
+            if (!reusable) connection.close()
         }
     }
 
-    private suspend fun read(channel: Link): HttpMessage {
+    private suspend fun read(connection: Connection): HttpMessage {
         val parser = HttpParser(HttpParser.Kind.RESPONSE, limits)
         val buffer = ByteBuffer.allocate(BUFFER_BYTES)
         while (true) {
             buffer.clear()
-            val count = channel.read(buffer)
+            val count = connection.read(buffer)
             buffer.flip()
             val outcome = if (count < 0) parser.endOfStream() else parser.feed(buffer)
             when (outcome) {
--- a/src/main/kotlin/org/honeyjunction/io/HttpServer.kt
+++ b/src/main/kotlin/org/honeyjunction/io/HttpServer.kt
@@ -19,22 +19,22 @@
 /**
  * HTTP/1.1 server without pipelining; a coroutine serves each connection.
  *
- * @param maxConnections open connections at most; see [SocketBudget]
- * @param mayClose whether a request is a worker's, so that its connection may be closed to leave sockets to users
- * @param mostBytes size of a request's body at most
+ * @param maxConnections maximum number of open connections; see [SocketBudget]
+ * @param isWorkerRequest whether a request comes from a worker, whose connection may be closed to keep sockets free for users
+ * @param maxBodyBytes maximum size of a request body, in bytes
  * @param handle answers a request; an [IllegalStateException] becomes status 500
  */
 class HttpServer(
     private val loop: EventLoop,
     private val maxConnections: Int,
-    private val mayClose: (Request) -> Boolean,
-    private val mostBytes: Int = HttpLimits().maxBodyBytes,
+    private val isWorkerRequest: (Request) -> Boolean,
+    private val maxBodyBytes: Int = HttpLimits().maxBodyBytes,
     private val handle: suspend (Request) -> Response,
 ) {
     private val log = LoggerFactory.getLogger(HttpServer::class.java)
-    private val budget = SocketBudget<Link>(maxConnections)
+    private val budget = SocketBudget<Connection>(maxConnections)
 
-    /** For the log: connections now, and the most at once. */
+    /** Open connections now and at the peak, for the log. */
     val statistics get() = "${budget.open} connections, at most ${budget.peak} of $maxConnections"
 
     /** Starts to accept connections at [address]. */
@@ -46,24 +46,24 @@
 
     private suspend fun acceptAll(server: Listener, scope: CoroutineScope) {
         while (server.isOpen) {
-            val channel =
+            val connection =
                 try {
                     server.accept()
                 } catch (e: IOException) {
-                    // Probably out of sockets: the listener itself is still usable.
+                    // The process is probably out of sockets; the listener itself is still usable.
                     log.debug("accept failed: {}", e.message)
                     delay(ACCEPT_RETRY_MS)
                     continue
                 }
-            if (admit(channel)) scope.launch { serveUntilClosed(channel) }
+            if (admit(connection)) scope.launch { serveUntilClosed(connection) }
         }
     }
 
-    /** Makes room for [channel], or closes it and returns false. */
-    private fun admit(channel: Link): Boolean {
-        when (val admission = budget.admit(channel)) {
+    /** Admits [connection], evicting another one if necessary; closes [connection] and returns false if it is rejected. */
+    private fun admit(connection: Connection): Boolean {
+        when (val admission = budget.admit(connection)) {
             is SocketBudget.Admission.Rejected -> {
-                channel.close()
+                connection.close()
                 return false
             }
             is SocketBudget.Admission.Evicting -> admission.evicted.close()
@@ -72,31 +72,31 @@
         return true
     }
 
-    private suspend fun serveUntilClosed(channel: Link) {
+    private suspend fun serveUntilClosed(connection: Connection) {
         try {
-            serve(channel)
+            serve(connection)
         } catch (_: IOException) {
-            // The client closed the connection, or was too slow.
+            // The client closed the connection, or did not send a request in time.
         } catch (_: TimeoutCancellationException) {
             // The client does not read the response.
         } finally {
-            budget.closed(channel)
-            channel.close()
+            budget.closed(connection)
+            connection.close()
         }
     }
 
-    private suspend fun serve(channel: Link) {
-        val parser = HttpParser(HttpParser.Kind.REQUEST, HttpLimits(maxBodyBytes = mostBytes))
+    private suspend fun serve(connection: Connection) {
+        val parser = HttpParser(HttpParser.Kind.REQUEST, HttpLimits(maxBodyBytes = maxBodyBytes))
         val buffer = ByteBuffer.allocate(BUFFER_BYTES)
         buffer.flip()
         while (true) {
-            when (val outcome = readRequest(channel, parser, buffer) ?: return) {
+            when (val outcome = readRequest(connection, parser, buffer) ?: return) {
                 is HttpParser.Complete -> {
-                    val keepOpen = respond(channel, outcome.message)
+                    val keepOpen = respond(connection, outcome.message)
                     if (!keepOpen) return
                 }
                 is HttpParser.Failed -> {
-                    write(channel, Response(outcome.status, close = true))
+                    write(connection, Response(outcome.status, close = true))
                     return
                 }
                 is HttpParser.Incomplete -> Unit
@@ -105,7 +105,7 @@
     }
 
     /** Reads until a request is complete or invalid; null when the client closed the connection. */
-    private suspend fun readRequest(channel: Link, parser: HttpParser, buffer: ByteBuffer): HttpParser.Outcome? {
+    private suspend fun readRequest(connection: Connection, parser: HttpParser, buffer: ByteBuffer): HttpParser.Outcome? {
         var outcome = parser.feed(buffer)
         val deadline = loop.clock.steady() + MESSAGE_TIMEOUT_MS
         while (outcome is HttpParser.Incomplete) {
@@ -113,9 +113,9 @@
             val timeoutMs = if (parser.isMidMessage) deadline - loop.clock.steady() else IDLE_TIMEOUT_MS
             val count =
                 try {
-                    withTimeout(maxOf(timeoutMs, 1)) { channel.read(buffer) }
+                    withTimeout(maxOf(timeoutMs, 1)) { connection.read(buffer) }
                 } catch (e: TimeoutCancellationException) {
-                    throw IOException("too slow", e)
+                    throw IOException("the client did not send a request in time", e)
                 }
             if (count < 0) return null
             buffer.flip()
@@ -125,17 +125,17 @@
     }
 
     /** Answers one request; returns whether the connection stays open. */
-    private suspend fun respond(channel: Link, message: HttpMessage): Boolean {
+    private suspend fun respond(connection: Connection, message: HttpMessage): Boolean {
         val request = Request(message.startLine[0], message.startLine[1], message.body)
-        budget.requestStarted(channel)
+        budget.requestStarted(connection)
         val response = answer(request)
-        val close = message.closesConnection || response.close || !budget.requestFinished(channel, mayClose(request))
-        write(channel, Response(response.status, response.body, response.retryAfterS, close, response.headers))
+        val close = message.closesConnection || response.close || !budget.requestFinished(connection, isWorkerRequest(request))
+        write(connection, Response(response.status, response.body, response.retryAfterS, close, response.headers))
         return !close
     }
 
-    private suspend fun write(channel: Link, response: Response) =
-        withTimeout(MESSAGE_TIMEOUT_MS) { channel.write(HttpWriter.response(response)) }
+    private suspend fun write(connection: Connection, response: Response) =
+        withTimeout(MESSAGE_TIMEOUT_MS) { connection.write(HttpWriter.response(response)) }
 
     private suspend fun answer(request: Request): Response =
         try {
@@ -143,7 +143,7 @@
         } catch (e: CancellationException) {
             throw e
         } catch (e: IllegalStateException) {
-            // A broken invariant costs this one request, not the process.
+            // A violated invariant fails only this request, not the process.
             log.error("{} {} failed", request.method, request.path, e)
             Response(INTERNAL_ERROR)
         }
@@ -151,10 +151,13 @@
     private companion object {
         const val BUFFER_BYTES = 4096
 
-        /** Time to receive one request, from the end of the one before, once its first byte is there; and to send a response. */
+        /**
+         * Time limit for receiving a request and for sending a response. For a request the time counts from the end of the
+         * previous one, but the limit applies only once its first byte has arrived.
+         */
         const val MESSAGE_TIMEOUT_MS = 8_000L
 
-        /** Time that a connection may be idle between requests. */
+        /** Longest time that a connection may be idle between requests. */
         const val IDLE_TIMEOUT_MS = 120_000L
         const val ACCEPT_RETRY_MS = 50L
         const val INTERNAL_ERROR = 500
--- a/src/main/kotlin/org/honeyjunction/io/RecentRate.kt
+++ b/src/main/kotlin/org/honeyjunction/io/RecentRate.kt
@@ -7,8 +7,8 @@
     private var perS = 0.0
     private var updatedAt = clock.steady()
 
-    /** [count] events happened now. */
-    fun note(count: Int) {
+    /** Records [count] events that happen now. */
+    fun record(count: Int) {
         perS = perS() + count * 1000 / TIME_CONSTANT_MS
     }
 
--- a/src/main/kotlin/org/honeyjunction/simulation/FleetJobs.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/FleetJobs.kt
@@ -13,8 +13,8 @@
     private val oneGpu = Resources(machine.cpus / machine.gpus, 1.0, machine.memoryGb / machine.gpus)
     private val teams = setup.limits.keys.toList()
 
-    /** A third of the jobs come at the start, the rest within a minute and a half. */
-    fun of(machines: Int): List<PlannedJob> {
+    /** Jobs for [machines] machines: a third are submitted at the start, the rest within a minute and a half. */
+    fun jobsFor(machines: Int): List<PlannedJob> {
         var number = 0
         val services = List(machines / 8) { job(++number, JobKind.SERVICE, 4, oneGpu, Priority.PRODUCTION, FOREVER_S) }
         val gangs = List(machines / 12) { job(++number, JobKind.GANG, 1 + it % 3, machine, Priority.HIGH, 60.0 + it % 40) }
--- a/src/main/kotlin/org/honeyjunction/simulation/VirtualEventLoop.kt
+++ b/src/main/kotlin/org/honeyjunction/simulation/VirtualEventLoop.kt
@@ -11,86 +11,89 @@
 import kotlinx.coroutines.SupervisorJob
 import kotlinx.coroutines.disposeOnCancellation
 import org.honeyjunction.io.Clock
+import org.honeyjunction.io.Connection
 import org.honeyjunction.io.EventLoop
-import org.honeyjunction.io.Link
 import org.honeyjunction.io.Listener
 import kotlin.coroutines.CoroutineContext
 
-/** A process's clocks: its steady one starts anywhere and runs a little fast or slow, its time of day is off by [skewMs]. */
+/**
+ * Clocks of a simulated process: the steady clock has an arbitrary origin and runs fast by the fraction [drift] (slow if
+ * negative), the wall clock is off by [skewMs].
+ */
 class VirtualClock(private val time: VirtualTime, private val drift: Double = 0.0, private val skewMs: Long = 0) : Clock {
-    override fun steady() = STARTED_MS + (time.now * (1 + drift)).toLong()
+    override fun steady() = STEADY_ORIGIN_MS + (time.now * (1 + drift)).toLong()
 
     override fun wall() = EPOCH_MS + time.now + skewMs
 
     private companion object {
-        const val STARTED_MS = 1_000_000L
+        const val STEADY_ORIGIN_MS = 1_000_000L
         const val EPOCH_MS = 1_764_630_000_000L
     }
 }
 
 /**
- * A process in virtual time, whose connections are those of [net]. It can be killed, after which nothing of it ever runs,
- * and it can stand still while its clocks run on: what came meanwhile is done afterwards, in its order.
+ * Event loop of a simulated process in virtual time, which connects through [net]. The process can be killed, after which none of
+ * its code runs, and suspended while its clocks run on: events that are due meanwhile are handled afterwards, in order.
  */
 @OptIn(InternalCoroutinesApi::class)
 class VirtualEventLoop private constructor(
     private val name: String,
-    private val net: VirtualNet,
+    private val net: VirtualNetwork,
     override val clock: Clock,
     private val process: Process,
 ) : EventLoop {
     constructor(
         name: String,
-        net: VirtualNet,
+        net: VirtualNetwork,
         clock: Clock = VirtualClock(net.time),
-        failed: (Throwable) -> Unit,
-    ) : this(name, net, clock, Process(net.time, failed))
+        onFailure: (Throwable) -> Unit,
+    ) : this(name, net, clock, Process(net.time, onFailure))
 
-    /** What several names of one process share. */
-    private class Process(private val time: VirtualTime, failed: (Throwable) -> Unit) :
+    /** State shared by all host names of one process. */
+    private class Process(private val time: VirtualTime, onFailure: (Throwable) -> Unit) :
         CoroutineDispatcher(),
         Delay {
         var dead = false
         var frozenUntil = 0L
-        val scope = CoroutineScope(SupervisorJob() + this + CoroutineExceptionHandler { _, e -> failed(e) })
+        val scope = CoroutineScope(SupervisorJob() + this + CoroutineExceptionHandler { _, e -> onFailure(e) })
 
-        private fun at(moment: Long, run: () -> Unit): () -> Unit = time.at(moment) { whenAwake(run) }
+        private fun schedule(moment: Long, run: () -> Unit): () -> Unit = time.schedule(moment) { runUnlessFrozen(run) }
 
-        private fun whenAwake(run: () -> Unit) {
+        private fun runUnlessFrozen(run: () -> Unit) {
             if (dead) return
-            if (time.now < frozenUntil) time.at(frozenUntil) { whenAwake(run) } else run()
+            if (time.now < frozenUntil) time.schedule(frozenUntil) { runUnlessFrozen(run) } else run()
         }
 
         override fun dispatch(context: CoroutineContext, block: Runnable) {
-            at(time.now) { block.run() }
+            schedule(time.now) { block.run() }
         }
 
         override fun scheduleResumeAfterDelay(timeMillis: Long, continuation: CancellableContinuation<Unit>) {
-            val cancel = at(time.now + maxOf(timeMillis, 0)) { with(continuation) { resumeUndispatched(Unit) } }
+            val cancel = schedule(time.now + maxOf(timeMillis, 0)) { with(continuation) { resumeUndispatched(Unit) } }
             continuation.disposeOnCancellation(DisposableHandle { cancel() })
         }
 
         override fun invokeOnTimeout(timeMillis: Long, block: Runnable, context: CoroutineContext): DisposableHandle {
-            val cancel = at(time.now + maxOf(timeMillis, 0)) { block.run() }
+            val cancel = schedule(time.now + maxOf(timeMillis, 0)) { block.run() }
             return DisposableHandle { cancel() }
         }
     }
 
     override val scope get() = process.scope
 
-    override suspend fun connect(address: String): Link = net.connect(name, address)
+    override suspend fun connect(address: String): Connection = net.connect(name, address)
 
     override fun listen(address: String): Listener = net.listen(name, address)
 
-    override fun occupy(ms: Long) {
+    override fun blockFor(ms: Long) {
         process.frozenUntil = maxOf(process.frozenUntil, net.time.now + ms)
     }
 
-    override fun named(name: String): EventLoop = VirtualEventLoop(name, net, clock, process)
+    override fun withHostName(name: String): EventLoop = VirtualEventLoop(name, net, clock, process)
 
-    /** As a process that is killed: its connections are reset by its machine. */
+    /** Kills the process; the network closes its connections and listeners. */
     override fun close() {
         process.dead = true
-        net.reset(name)
+        net.closeAll(name)
     }
 }
--- a/src/test/kotlin/org/honeyjunction/app/HistoryCheckerTest.kt
+++ b/src/test/kotlin/org/honeyjunction/app/HistoryCheckerTest.kt
@@ -18,7 +18,7 @@
 import org.honeyjunction.fake.Work
 import org.honeyjunction.io.HttpServer
 import org.honeyjunction.simulation.VirtualEventLoop
-import org.honeyjunction.simulation.VirtualNet
+import org.honeyjunction.simulation.VirtualNetwork
 import org.honeyjunction.simulation.VirtualTime
 import org.honeyjunction.wire.JobCodec
 import org.honeyjunction.wire.Json
@@ -119,7 +119,7 @@
     @EnumSource
     fun `what users are told`(lie: Lie) {
         val time = VirtualTime()
-        val net = VirtualNet(time, Random(1))
+        val net = VirtualNetwork(time, Random(1))
         val known = HashMap<String, String>()
 
         fun honest(r: Request, id: String): Response =
@@ -134,7 +134,7 @@
             }
         val nodes =
             List(2) { n ->
-                HttpServer(VirtualEventLoop("hive-$n", net) { throw it }, 100, mayClose = { false }) { r ->
+                HttpServer(VirtualEventLoop("hive-$n", net) { throw it }, 100, isWorkerRequest = { false }) { r ->
                     val id =
                         if (r.path == FakeUsers.RUNS) {
                             Json.readObject(r.body).path("Ref").asText()
@@ -154,8 +154,8 @@
             loop.scope.launch { users.pressing.press(Fault.parse(f)) { emptySet() } }
         }
         // The task ends some time before the job is called done.
-        if (!lie.cancels) time.at(2_000) { watch.completed += "j-000001/0" }
-        time.at(3_000) { known.replace("j-000001", "running", "done") }
+        if (!lie.cancels) time.schedule(2_000) { watch.completed += "j-000001/0" }
+        time.schedule(3_000) { known.replace("j-000001", "running", "done") }
         time.runUntil(30_000)
         loop.scope.launch { users.askAgain() }
         time.runUntil(40_000)
@@ -174,7 +174,7 @@
     @Test
     fun `a job for which nobody answers`() {
         val time = VirtualTime()
-        val net = VirtualNet(time, Random(1))
+        val net = VirtualNetwork(time, Random(1))
         var up = true
         val node =
             HttpServer(
@@ -182,7 +182,7 @@
                     throw it
                 },
                 100,
-                mayClose = { false },
+                isWorkerRequest = { false },
             ) { if (up) told("queued") else Response(503) }.listen("127.0.0.1:0").address
         val users = FakeUsers(VirtualEventLoop("users", net) { throw it }, listOf(node), watch, 1) { time.now }
         users.follow(PlannedJob(Work(spec(), 2.0), 0, null))
--- a/src/test/kotlin/org/honeyjunction/wire/GoldenExchanges.kt
+++ b/src/test/kotlin/org/honeyjunction/wire/GoldenExchanges.kt
@@ -35,7 +35,7 @@
         EventLoop().use { loop ->
             val requests = ArrayList<String>()
             val server =
-                HttpServer(loop, 8, mayClose = { false }) { request ->
+                HttpServer(loop, 8, isWorkerRequest = { false }) { request ->
                     requests += "${request.method} ${request.target} ${String(request.body)}".trimEnd()
                     responses["${request.method} ${request.target}"]?.let { Response(200, it) } ?: Response(404)
                 }
