--- a/src/main/kotlin/org/honeyjunction/app/Main.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Main.kt
@@ -92,7 +92,11 @@
         val (settings, tuning, nomad) =
             try {
                 val operatorConfiguration = operator?.let(OperatorSettings::read)
-                Triple(Files.withFileName(file) { Settings.read(file) }, operatorConfiguration?.tuning ?: Tuning(), operatorConfiguration?.nomad)
+                Triple(
+                    Files.withFileName(file) { Settings.read(file) },
+                    operatorConfiguration?.tuning ?: Tuning(),
+                    operatorConfiguration?.nomad,
+                )
             } catch (e: MalformedException) {
                 return printError(e.message!!, ExitStatus.BAD_FILE)
             } catch (e: IOException) {
