--- a/src/test/kotlin/org/honeyjunction/simulation/FailoverFaultsTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/FailoverFaultsTest.kt
@@ -9,20 +9,21 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** What reaches a new leader in its first seconds: old reports, and cancellations. */
+/** Stale heartbeats and cancellations that reach a new leader in the first seconds of its term. */
 class FailoverFaultsTest {
-    private fun SimulatedCluster.live(id: String) =
+    /** Number of live tasks of the job [id] on workers with a valid lease. */
+    private fun SimulatedCluster.liveTasks(id: String) =
         workers.values.filter { it.holds(now) }.sumOf { worker ->
             worker.tasks.values.count { it.live && it.spec.id == id }
         }
 
     /**
-     * Tasks are stopped and started again on the machines that cache their images, and results are reaped, so that old
-     * reports list what is not there any more.
+     * Tasks are stopped and started again on the machines that cache their images, and results of ended tasks are deleted, so
+     * that a stale heartbeat lists tasks that the machine does not have any more.
      */
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12])
-    fun `stale heartbeats are the first that a new leader gets from its machines`(seed: Long) {
+    fun `all jobs complete though the first heartbeats that a new leader gets from machines are stale`(seed: Long) {
         val cluster = SimulatedCluster(seed, capacity = 5, setup = ClusterSetup(limits = mapOf("a" to 12.0, "b" to 14.0)))
         cluster.elect()
         cluster.network.recordedHeartbeatPercent = 25
@@ -39,15 +40,15 @@
                 3 -> cluster.workers.values.firstOrNull { !it.dead }?.cutUntil = cluster.now + 15_000
                 4 -> cluster.workers.values.firstOrNull { !it.dead }?.hungUntil = cluster.now + 6_000
             }
-            // Half of the machines are known by old reports alone for a while.
+            // For a while the new leader knows half of the machines from stale heartbeats alone.
             cluster.workers.values.filterIndexed { i, _ -> (i + round) % 2 == 0 }.forEach {
                 it.hungUntil = maxOf(it.hungUntil, cluster.now + 3_500)
             }
-            // Twice in a row: what the first was told late is told to the second as well.
+            // Two failovers in a row: the second leader gets stale heartbeats too.
             if (seed % 3 == 0L) cluster.crash() else cluster.handOver()
             if (round % 2 == 1) cluster.after(400) { cluster.handOver() }
         }
-        assertTrue(cluster.staleFirstHeartbeats >= 5, "${cluster.staleFirstHeartbeats} machines were first heard by an old report")
+        assertTrue(cluster.staleFirstHeartbeats >= 5, "the first heartbeat was stale for ${cluster.staleFirstHeartbeats} machines")
         cluster.network.recordedHeartbeatPercent = 0
         cluster.network.repeatedHeartbeatPercent = 0
         cluster.run(30_000)
@@ -58,8 +59,8 @@
     }
 
     /**
-     * The task was stopped and started once more on the same machine: the reports that are late tell of the first attempt
-     * and of its end, and the machine hangs meanwhile.
+     * The task is stopped and started once more on the same machine. Stale heartbeats then report the first attempt and its end to
+     * the new leader while the machine hangs.
      */
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
@@ -69,7 +70,7 @@
         val job = cluster.submit(1, JobKind.ARRAY, 1, "a", gpus = 3, seconds = 1e6)
         val other = cluster.submit(3, JobKind.ARRAY, 1, "b", gpus = 3, seconds = 18.0)
         cluster.run(16_000)
-        val there = cluster.history.starts.getValue("$job/0")
+        val firstStart = cluster.history.starts.getValue("$job/0")
         cluster.network.recordedHeartbeatPercent = 100
         cluster.run(2_500)
         cluster.leader!!.run {
@@ -77,28 +78,28 @@
             state.job(job)!!.notBefore = cluster.now + 6_000
         }
         cluster.run(6_000)
-        assertEquals(0, cluster.live(job), "stopped")
+        assertEquals(0, cluster.liveTasks(job), "the first attempt was stopped")
         cluster.network.recordedHeartbeatPercent = 0
         cluster.run(2_500)
-        val again = cluster.history.starts.getValue("$job/0")
-        assertEquals(listOf(1, there.worker.name), listOf(cluster.live(job), again.worker.name))
-        assertTrue(again.task.attempt > there.task.attempt && cluster.workers.size > 1)
-        there.worker.hungUntil = cluster.now + 5_000
+        val secondStart = cluster.history.starts.getValue("$job/0")
+        assertEquals(listOf(1, firstStart.worker.name), listOf(cluster.liveTasks(job), secondStart.worker.name))
+        assertTrue(secondStart.task.attempt > firstStart.task.attempt && cluster.workers.size > 1)
+        firstStart.worker.hungUntil = cluster.now + 5_000
         cluster.handOver()
         cluster.run(9_000)
         assertTrue(cluster.staleFirstHeartbeats > 0)
-        assertEquals(again.task.attempt, cluster.history.starts.getValue("$job/0").task.attempt, "it was not started again")
+        assertEquals(secondStart.task.attempt, cluster.history.starts.getValue("$job/0").task.attempt, "the task was not started again")
         assertEquals(emptyList<String>(), cluster.broken)
         assertEquals(JobStage.DONE, cluster.state.finals[other]?.stage)
     }
 
     /**
-     * From a second and a half before one controller's work changes hands to three seconds after it; jobs that run, fetch,
-     * are on their way or were just accepted.
+     * Users cancel jobs from 1.5 s before the leader changes until 3 s after the change. The jobs' tasks run, fetch their images,
+     * are being sent to workers, or have just been accepted.
      */
     @ParameterizedTest(name = "{0} ms")
     @ValueSource(longs = [-1_500, -700, -300, -100, -40, 0, 20, 60, 120, 300, 700, 1_500, 3_000])
-    fun `jobs are cancelled in the seconds around a failover`(offsetMs: Long) {
+    fun `jobs that are cancelled in the seconds around a failover stop, and their cancellation is recorded`(offsetMs: Long) {
         for (change in listOf("hand over", "crash", "cut off", "hand over, deaf machines", "hand over, hanging machines")) {
             for (seed in 1L..3L) {
                 val name = "$change, $offsetMs ms, seed $seed"
@@ -111,13 +112,13 @@
                         cluster.submit(1, JobKind.ARRAY, 4, "a", seconds = 1e6),
                         cluster.submit(2, JobKind.GANG, 2, "b", gpus = 2, seconds = 1e6),
                     )
-                val stays = cluster.submit(3, JobKind.ARRAY, 4, "b", seconds = 12.0)
+                val uncancelled = cluster.submit(3, JobKind.ARRAY, 4, "b", seconds = 12.0)
                 cluster.run(20_000)
-                val begin = cluster.now + 3_000
-                // Accepted at moments such that some are reserved, recorded, sent or fetching when the leader changes.
-                val fresh =
+                val failoverAt = cluster.now + 3_000
+                // The jobs are accepted at intervals such that some are reserved, recorded, sent or fetching when the leader changes.
+                val recentlyAccepted =
                     listOf(1_400L, 900, 450, 250, 120, 60, 20).mapIndexed { i, before ->
-                        cluster.after(begin - before - cluster.now) {
+                        cluster.after(failoverAt - before - cluster.now) {
                             cluster.submit(
                                 10 + i,
                                 JobKind.ARRAY,
@@ -128,14 +129,14 @@
                         }
                         "j-${10 + i}"
                     }
-                val cancelled = running + fresh
+                val cancelled = running + recentlyAccepted
                 cluster.after(
-                    begin + offsetMs - cluster.now,
+                    failoverAt + offsetMs - cluster.now,
                 ) { cancelled.filter { it in cluster.state.jobs }.forEach(cluster::cancelUntilConfirmed) }
-                cluster.after(begin - cluster.now) {
-                    val half = cluster.workers.values.filterIndexed { i, _ -> i % 2 == 0 }
-                    if ("deaf" in change) half.forEach { it.deafUntil = cluster.now + 15_000 }
-                    if ("hanging" in change) half.forEach { it.hungUntil = cluster.now + 7_000 }
+                cluster.after(failoverAt - cluster.now) {
+                    val affected = cluster.workers.values.filterIndexed { i, _ -> i % 2 == 0 }
+                    if ("deaf" in change) affected.forEach { it.deafUntil = cluster.now + 15_000 }
+                    if ("hanging" in change) affected.forEach { it.hungUntil = cluster.now + 7_000 }
                     when {
                         "hand over" in change -> cluster.handOver()
                         change == "crash" -> cluster.crash()
@@ -143,19 +144,19 @@
                     }
                 }
                 cluster.run(3_000 + SimulatedCluster.LEASE + 3_200)
-                // Those that came after the moment are called off as well, so that all end.
+                // Jobs accepted after the first cancellation requests are cancelled as well, so that all of them end.
                 cancelled.forEach(cluster::cancelUntilConfirmed)
                 cluster.run(45_000)
                 cluster.network.delayedCommandPercent = 0
                 assertEquals(
                     emptyList<String>(),
                     cancelled.filter { cluster.state.finals[it]?.stage != JobStage.CANCELLED },
-                    "$name: confirmed",
+                    "$name: jobs without a recorded cancellation",
                 )
-                assertEquals(0, cancelled.sumOf { cluster.live(it) }, name)
+                assertEquals(0, cancelled.sumOf { cluster.liveTasks(it) }, name)
                 cluster.requireWorkConservation()
                 cluster.run(100_000)
-                assertEquals(JobStage.DONE, cluster.state.finals[stays]?.stage, name)
+                assertEquals(JobStage.DONE, cluster.state.finals[uncancelled]?.stage, name)
                 assertEquals(emptyList<String>(), cluster.broken, name)
             }
         }
--- a/src/test/kotlin/org/honeyjunction/simulation/FailureAttributionSimulationTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/FailureAttributionSimulationTest.kt
@@ -8,32 +8,32 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 
-/** Jobs that were submitted with a mistake, and machines at fault, among many that are sound. */
+/** Faulty jobs and faulty machines among many sound ones, and machines that boot slowly, at once or never. */
 class FailureAttributionSimulationTest {
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // case, bad jobs, bad machines, leader crashes, machines released at most Where two bad jobs meet on one machine
-        // before either is found out, it is taken for faulty: one of sixty.
-        "jobs with a mistake cost next to no machine,   6, 0, false, 1",
-        "the same over a takeover,                      6, 0, true,  1",
-        "machines at fault are returned,                0, 4, false, 4",
-        "both at once with takeovers,                   6, 4, true,  6",
+        // case, faulty jobs, faulty machines, leader crashes, most machines that may be released. If two faulty jobs fail on one
+        // machine before either job is recognized as faulty, the machine is classified as faulty; this happens to one of sixty machines.
+        "faulty jobs cost at most one machine,          6, 0, false, 1",
+        "faulty jobs and a failover,                    6, 0, true,  1",
+        "faulty machines are released,                  0, 4, false, 4",
+        "faulty jobs and machines and a failover,       6, 4, true,  6",
     )
     fun `failures are attributed to the faulty jobs and machines`(
         case: String,
-        badJobs: Int,
-        badMachines: Int,
+        faultyJobCount: Int,
+        faultyMachineCount: Int,
         crash: Boolean,
-        released: Int,
+        maxReleased: Int,
     ) {
         val cluster = SimulatedCluster(41, capacity = 60, setup = ClusterSetup(limits = mapOf("a" to 240.0, "b" to 240.0)))
         cluster.elect()
         val services = (1..6).map { cluster.submit(it, JobKind.SERVICE, 4, "a", spread = true, priority = Priority.PRODUCTION) }
-        val first = (10..17).map { cluster.submit(it, JobKind.ARRAY, 16, "b", seconds = 6.0) }
+        val initialJobs = (10..17).map { cluster.submit(it, JobKind.ARRAY, 16, "b", seconds = 6.0) }
         cluster.run(12_000)
-        cluster.workers.values.take(badMachines).forEach { it.faulty = true }
-        val bad =
-            (20 until 20 + badJobs).map {
+        cluster.workers.values.take(faultyMachineCount).forEach { it.faulty = true }
+        val faultyJobs =
+            (20 until 20 + faultyJobCount).map {
                 cluster.submit(
                     it,
                     if (it % 2 == 0) JobKind.ARRAY else JobKind.GANG,
@@ -43,7 +43,7 @@
                     jobClass = "faulty",
                 )
             }
-        val good =
+        val soundJobs =
             (40..60).map {
                 cluster.submit(
                     it,
@@ -65,36 +65,48 @@
             cluster.run(12_000)
         }
         cluster.run(25_000)
-        // Idle machines are returned after 45 s: what has been given back by now was taken for faulty, or died.
-        assertTrue(cluster.cloud.releases <= released, "$case: ${cluster.cloud.releases} machines were given back")
-        val before = cluster.started
+        // Idle machines are released after 45 s: machines released before that were classified as faulty, or died.
+        assertTrue(cluster.cloud.releases <= maxReleased, "$case: ${cluster.cloud.releases} machines were released")
+        val startedBefore = cluster.started
         cluster.run(60_000)
         assertTrue(
-            cluster.started - before <= badJobs * 4 * 6,
-            "$case: ${cluster.started - before} starts in a minute in which only bad jobs were left",
+            cluster.started - startedBefore <= faultyJobCount * 4 * 6,
+            "$case: ${cluster.started - startedBefore} starts in a minute in which only faulty jobs were left",
+        )
+        assertEquals(
+            emptyList<String>(),
+            (initialJobs + soundJobs).filter {
+                cluster.state.finals[it]?.stage != JobStage.DONE
+            },
+            "$case: unfinished",
         )
-        assertEquals(emptyList<String>(), (first + good).filter { cluster.state.finals[it]?.stage != JobStage.DONE }, "$case: unfinished")
         assertEquals(services.associateWith { 4 }, services.associateWith { cluster.running(it) }, case)
-        bad.forEach { cluster.cancel(it) }
+        faultyJobs.forEach { cluster.cancel(it) }
         cluster.run(40_000)
-        assertTrue(bad.all { cluster.state.finals[it]?.stage == JobStage.CANCELLED }, case)
+        assertTrue(faultyJobs.all { cluster.state.finals[it]?.stage == JobStage.CANCELLED }, case)
         assertEquals(emptyList<String>(), cluster.broken)
     }
 
-    /** Machines that come late, at once or never, while leaders change and machines die. */
+    /** Machines boot slowly, at once or never, while the leader fails over and machines die. */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // case, factor, one in so many never, leader crashes, rented at most beside those that never came
-        "four times as long,               4.0,  0, false, 45",
-        "at once,                          0.02, 0, false, 45",
-        "one in four never,                1.0,  4, false, 60",
-        "both over a takeover,             4.0,  4, true,  70",
+        // case, factor of the boot time, one machine in so many never boots, leader crashes, most rented machines that boot
+        "boots take four times as long,    4.0,  0, false, 45",
+        "machines boot at once,            0.02, 0, false, 45",
+        "one machine in four never boots,  1.0,  4, false, 60",
+        "slow and failed boots, failover,  4.0,  4, true,  70",
     )
-    fun `machines that boot slowly, at once or never`(case: String, factor: Double, failsOneIn: Int, crash: Boolean, rented: Int) {
+    fun `all jobs complete and no failed boot stays rented while machines boot slowly, at once or never`(
+        case: String,
+        bootFactor: Double,
+        bootFailsOneIn: Int,
+        crash: Boolean,
+        maxRented: Int,
+    ) {
         val cluster = SimulatedCluster(51, capacity = 120, setup = ClusterSetup(limits = mapOf("a" to 240.0, "b" to 240.0)))
         cluster.elect()
-        cluster.cloud.bootFactor = factor
-        cluster.cloud.bootFailsOneIn = failsOneIn
+        cluster.cloud.bootFactor = bootFactor
+        cluster.cloud.bootFailsOneIn = bootFailsOneIn
         val services = (1..6).map { cluster.submit(it, JobKind.SERVICE, 4, "a", spread = true, priority = Priority.PRODUCTION) }
         val jobs =
             (10..25).map { cluster.submit(it, JobKind.ARRAY, 6, "b", seconds = 8.0) } +
@@ -107,10 +119,10 @@
         assertEquals(emptyList<String>(), jobs.filter { cluster.state.finals[it]?.stage != JobStage.DONE }, "$case: unfinished")
         assertEquals(services.associateWith { 4 }, services.associateWith { cluster.running(it) }, case)
         assertTrue(
-            cluster.cloud.rentedInAll - cluster.cloud.failedBoots <= rented,
-            "$case: ${cluster.cloud.rentedInAll} rented, ${cluster.cloud.failedBoots} never up",
+            cluster.cloud.rentedInAll - cluster.cloud.failedBoots <= maxRented,
+            "$case: ${cluster.cloud.rentedInAll} rented, ${cluster.cloud.failedBoots} never booted",
         )
-        assertEquals(0, cluster.cloud.bootingCount, "$case: none is paid for in vain in the end")
+        assertEquals(0, cluster.cloud.bootingCount, "$case: rented machines that never booted are released")
         assertEquals(emptyList<String>(), cluster.broken)
     }
 }
--- a/src/test/kotlin/org/honeyjunction/simulation/IdleTimeFailoverTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/IdleTimeFailoverTest.kt
@@ -5,24 +5,28 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
+/** Idle machines are released in time although the leader changes often. */
 class IdleTimeFailoverTest {
-    /** A deployment's check found four machines with nothing to do for a minute: every takeover began their idle time anew. */
+    /**
+     * Guards against a failure seen in a deployment: four machines stayed idle for a minute, because each failover restarted their
+     * idle time.
+     */
     @Test
-    fun `the idle time of a machine survives failovers`() {
+    fun `idle machines are released in time although a failover happens every 25 s`() {
         val cluster = SimulatedCluster(3)
         cluster.elect()
         cluster.submit(1, JobKind.ARRAY, 8, "a", seconds = 5.0)
         while (cluster.state.finals.isEmpty()) cluster.run(100)
         val idleFrom = cluster.now
         assertTrue(cluster.workers.isNotEmpty())
-        // Every 25 s another leader; the idle time is 45 s.
+        // The leader changes every 25 s, and machines are released after 45 s of idle time.
         while (cluster.workers.isNotEmpty() && cluster.now - idleFrom < 200_000) {
             cluster.run(25_000)
             cluster.leader?.alive = false
             cluster.run(SimulatedCluster.LEASE)
             cluster.elect()
         }
-        assertTrue(cluster.now - idleFrom < 100_000, "given back after ${(cluster.now - idleFrom) / 1000} s")
+        assertTrue(cluster.now - idleFrom < 100_000, "released after ${(cluster.now - idleFrom) / 1000} s")
         assertEquals(emptyList<String>(), cluster.broken)
     }
 }
--- a/src/test/kotlin/org/honeyjunction/simulation/MassFailureTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/MassFailureTest.kt
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 
-/** Many machines that fail together, in virtual time; SimulatedCluster asserts the rules and work conservation after every step. */
+/** Many machines fail together, in virtual time. [SimulatedCluster] checks the protocol's rules after every step. */
 class MassFailureTest {
     private fun fleet(seed: Long, machines: Int): SimulatedCluster {
         val cluster =
@@ -41,66 +41,74 @@
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // case, cut for s, the leader crashes meanwhile, connections reset, part of the machines kept at least, rented at
-        // most for each lost
+        // case, seconds that the partition lasts, leader crashes meanwhile, connections are reset, least share of the machines kept
         "shorter than the lease,                  8,  false, false, 0.98",
         "as long as the lease,                    12, false, false, 0.98",
-        "longer than the lease and back warm,     16, false, false, 0.9",
-        "the same with resets,                    16, false, true,  0.9",
-        "the leader crashes in it,                16, true,  false, 0.9",
-        "the leader crashes in it; resets too,    16, true,  true,  0.9",
+        "longer than the lease,                   16, false, false, 0.9",
+        "longer than the lease with resets,       16, false, true,  0.9",
+        "the leader crashes meanwhile,            16, true,  false, 0.9",
+        "the leader crashes meanwhile; resets,    16, true,  true,  0.9",
     )
-    fun `a partitioned zone that returns keeps its machines`(case: String, seconds: Long, crash: Boolean, resets: Boolean, kept: Double) {
+    fun `a partitioned zone that returns keeps its machines`(
+        case: String,
+        seconds: Long,
+        crash: Boolean,
+        resets: Boolean,
+        minKept: Double,
+    ) {
         val cluster = fleet(11, 400)
         val services = cluster.services(30)
         cluster.arrays(100, 60)
         cluster.run(40_000)
-        val before = cluster.machinesIn("x")
-        assertTrue(before.size > 50, "up in x: ${before.size}")
-        val rented = cluster.cloud.rentedInAll
+        val machinesBefore = cluster.machinesIn("x")
+        assertTrue(machinesBefore.size > 50, "machines up in zone x: ${machinesBefore.size}")
+        val rentedBefore = cluster.cloud.rentedInAll
         cluster.network.resetsConnections = resets
         cluster.cut("x", seconds * 1_000)
         cluster.run(2_000)
         if (crash) cluster.crash()
         cluster.run(seconds * 1_000 + 3_000)
-        val left = cluster.machinesIn("x").count { it in before }
-        assertTrue(left >= before.size * kept, "$case: $left of ${before.size} machines are left")
-        assertTrue(cluster.cloud.rentedInAll - rented <= before.size / 2, "$case: ${cluster.cloud.rentedInAll - rented} rented meanwhile")
+        val machinesKept = cluster.machinesIn("x").count { it in machinesBefore }
+        assertTrue(machinesKept >= machinesBefore.size * minKept, "$case: $machinesKept of ${machinesBefore.size} machines are kept")
+        assertTrue(
+            cluster.cloud.rentedInAll - rentedBefore <= machinesBefore.size / 2,
+            "$case: ${cluster.cloud.rentedInAll - rentedBefore} machines rented meanwhile",
+        )
         cluster.run(20_000)
-        assertEquals(services.associateWith { 4 }, services.associateWith { cluster.running(it) }, "$case: replicas are back")
+        assertEquals(services.associateWith { 4 }, services.associateWith { cluster.running(it) }, "$case: running replicas")
         cluster.assertRules()
     }
 
     @Test
-    fun `a partition that never ends - production is restarted elsewhere, and the machines are released at last`() {
+    fun `a partition that never ends - production tasks are restarted elsewhere, and the partitioned machines are released`() {
         val cluster = fleet(12, 200)
         val services = cluster.services(20)
         cluster.run(30_000)
-        val before = cluster.machinesIn("x")
+        val machinesBefore = cluster.machinesIn("x")
         cluster.cut("x", 10_000_000)
         cluster.run(10_000)
         cluster.crash()
         cluster.run(120_000)
-        // Half of a spread job may stay in one zone: the rest must wait for the other.
+        // At most half of a spread job's tasks may run in one zone, so the other half waits for the partitioned zone.
         assertTrue(services.all { cluster.running(it) >= 2 }, "${services.map { cluster.running(it) }}")
-        assertEquals(emptySet<String>(), cluster.machinesIn("x").intersect(before))
+        assertEquals(emptySet<String>(), cluster.machinesIn("x").intersect(machinesBefore))
         cluster.assertRules()
     }
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        "1,two zones in turn",
-        "2,half a zone dead and half cut",
-        "3,all machines hang together with the leader",
-        "4,return during an outage of the state service",
-        "5,the cloud is down meanwhile",
-        "6,everything at once",
-        "7,a zone cut while its controller holds the term",
-        "8,a capacity that shrinks to a third",
-        "9,everything returns as the replacements come up",
-        "10,a cut of the only zone with room",
+        "1,two zones are partitioned in turn",
+        "2,half of the machines of a zone die and the others are partitioned",
+        "3,all machines hang and the leader crashes",
+        "4,a zone returns during an outage of the state service",
+        "5,a zone is partitioned during an outage of the cloud",
+        "6,a partition and a leader crash and dead machines and an outage of the state service",
+        "7,a zone and the leader are partitioned",
+        "8,two thirds of the machines die and the capacity of the cloud shrinks to a third",
+        "9,a partitioned zone returns when its replacement machines come up",
+        "10,a zone is partitioned while the cloud has no free capacity",
     )
-    fun `hard cases at a thousand machines`(case: Int, name: String) {
+    fun `all jobs complete and all replicas run after combined faults on a thousand machines`(case: Int, name: String) {
         val cluster = fleet(20L + case, 1_000)
         val services = cluster.services(60)
         val arrays = cluster.arrays(100, 90)
@@ -113,8 +121,8 @@
                 cluster.cut("y", 15_000)
             }
             2 -> {
-                cluster.workers.values.filter { it.box.zone == "x" }.forEachIndexed { i, m ->
-                    if (i % 2 == 0) m.dead = true else m.cutUntil = cluster.now + 20_000
+                cluster.workers.values.filter { it.box.zone == "x" }.forEachIndexed { i, worker ->
+                    if (i % 2 == 0) worker.dead = true else worker.cutUntil = cluster.now + 20_000
                 }
             }
             3 -> {
@@ -177,13 +185,13 @@
         cluster.assertRules()
     }
 
-    private val actions: List<Pair<String, SimulatedCluster.() -> Unit>> =
+    private val faults: List<Pair<String, SimulatedCluster.() -> Unit>> =
         listOf(
-            "nothing" to {},
-            "cut x" to { cut("x", 9_000) },
-            "cut y long" to { cut("y", 20_000) },
-            "leader crashes" to { crash() },
-            "leader cut off" to {
+            "no fault" to {},
+            "zone x is cut for less than the lease" to { cut("x", 9_000) },
+            "zone y is cut for longer than the lease" to { cut("y", 20_000) },
+            "the leader crashes" to { crash() },
+            "the leader is cut off" to {
                 leader?.cutOff = true
                 after(SimulatedCluster.LEASE) { elect() }
             },
@@ -192,16 +200,16 @@
         )
 
     /**
-     * Every sequence of [depth] troubles over three machines in two zones: the rules hold at each step, and all work is done
-     * in the end.
+     * Runs every sequence of [depth] faults on three machines in two zones. The protocol's rules hold at each step, and all jobs
+     * complete in the end. Returns the number of sequences.
      */
-    private fun walk(depth: Int): Int {
-        var walked = 0
+    private fun runAllSequences(depth: Int): Int {
+        var sequences = 0
 
-        fun go(path: List<Int>) {
-            if (path.size < depth) return actions.indices.forEach { go(path + it) }
-            walked++
-            val cluster = SimulatedCluster(path.fold(1L) { seed, a -> seed * 31 + a }, capacity = 3)
+        fun runFrom(path: List<Int>) {
+            if (path.size < depth) return faults.indices.forEach { runFrom(path + it) }
+            sequences++
+            val cluster = SimulatedCluster(path.fold(1L) { seed, fault -> seed * 31 + fault }, capacity = 3)
             cluster.elect()
             val jobs =
                 listOf(
@@ -210,28 +218,28 @@
                     cluster.submit(3, JobKind.ARRAY, 2, "b", spread = true, priority = Priority.PRODUCTION, seconds = 15.0),
                 )
             cluster.run(7_000)
-            for (a in path) {
-                actions[a].second(cluster)
+            for (fault in path) {
+                faults[fault].second(cluster)
                 cluster.run(3_000)
             }
             cluster.run(150_000)
-            val name = path.joinToString { actions[it].first }
+            val name = path.joinToString { faults[it].first }
             assertEquals(emptyList<String>(), cluster.broken, name)
             assertEquals(emptyList<String>(), jobs.filter { cluster.state.finals[it]?.stage != JobStage.DONE }, "unfinished after: $name")
         }
-        go(emptyList())
-        return walked
+        runFrom(emptyList())
+        return sequences
     }
 
     @Test
-    fun `every sequence of three faults on three machines`() {
-        assertEquals(343, walk(3))
+    fun `all jobs complete after every sequence of three faults on three machines`() {
+        assertEquals(343, runAllSequences(3))
     }
 
-    /** mvn test -Dtest=MassFailureTest -DexcludedGroups=none: some minutes. */
+    /** Takes some minutes and runs only on request: `mvn test -Dtest=MassFailureTest -DexcludedGroups=none`. */
     @Tag("measure")
     @Test
-    fun `every sequence of four faults on three machines`() {
-        assertEquals(2_401, walk(4))
+    fun `all jobs complete after every sequence of four faults on three machines`() {
+        assertEquals(2_401, runAllSequences(4))
     }
 }
--- a/src/test/kotlin/org/honeyjunction/simulation/NewMachineFailoverTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/NewMachineFailoverTest.kt
@@ -10,11 +10,11 @@
 import org.junit.jupiter.params.provider.ValueSource
 
 /**
- * Machines are up within two seconds and have work at once, while writes lag and their answers are lost, and the leader
- * ends: the next one knows of them by their pages alone.
+ * New machines boot within two seconds and get tasks at once, while writes are applied late or their responses are lost. Then the
+ * leader ends, and the next leader knows of these machines only from journal pages.
  */
 class NewMachineFailoverTest {
-    /** Up for less than two seconds, with tasks, and named by the pages of the ledger alone. */
+    /** Machines that have been up for less than two seconds, have live tasks, and are stored only in journal pages. */
     private fun SimulatedCluster.newMachinesWithTasks(since: Map<String, Long>): List<FakeWorker> {
         val newMachines =
             workers.values.filter { worker ->
@@ -24,7 +24,8 @@
             }
         if (newMachines.isEmpty()) return newMachines
         val stored = state.recovered()
-        val named = stored.pages.flatMapTo(HashSet()) { p -> p.starts.map { it.machine } } - stored.machines.mapTo(HashSet()) { it.name }
+        val named =
+            stored.pages.flatMapTo(HashSet()) { page -> page.starts.map { it.machine } } - stored.machines.mapTo(HashSet()) { it.name }
         return newMachines.filter { it.name in named }
     }
 
@@ -49,7 +50,11 @@
         "hanging,  crash, 17",
         "hanging,  cut off, 18",
     )
-    fun `a machine that never sent the next leader a heartbeat has tasks`(there: String, change: String, seed: Long) {
+    fun `all jobs complete though the next leader knows machines with tasks from journal pages alone`(
+        reachability: String,
+        change: String,
+        seed: Long,
+    ) {
         val cluster =
             SimulatedCluster(seed, capacity = 14, setup = ClusterSetup(limits = mapOf("a" to 14.0, "b" to 10.0), listLagMs = 8_000))
         cluster.cloud.bootFactor = 0.25
@@ -60,7 +65,7 @@
         cluster.elect()
         val upSince = HashMap<String, Long>()
         val jobs = ArrayList<String>()
-        var met = 0
+        var roundsWithFault = 0
         repeat(4) { round ->
             jobs += cluster.submit(10 * round + 1, JobKind.ARRAY, 6, "a", gpus = 2, seconds = 5.0)
             jobs += cluster.submit(10 * round + 2, JobKind.ARRAY, 9, "b", seconds = 14.0)
@@ -70,7 +75,7 @@
                 cluster.workers.keys.forEach { upSince.putIfAbsent(it, cluster.now) }
                 val newMachines = cluster.newMachinesWithTasks(upSince)
                 if (newMachines.isEmpty()) continue
-                when (there) {
+                when (reachability) {
                     "cut" -> newMachines.forEach { it.cutUntil = cluster.now + 9_000 }
                     "deaf" -> newMachines.forEach { it.deafUntil = cluster.now + 9_000 }
                     "hanging" -> newMachines.forEach { it.hungUntil = cluster.now + 8_000 }
@@ -82,18 +87,18 @@
                 }
                 if (change == "hand over") {
                     assertTrue(
-                        newMachines.all { m ->
-                            cluster.leader!!.leader.state.machine(m.name)!!.let { it.address == null && it.placements.isNotEmpty() }
+                        newMachines.all { worker ->
+                            cluster.leader!!.leader.state.machine(worker.name)!!.let { it.address == null && it.placements.isNotEmpty() }
                         },
                     )
                 }
-                met++
+                roundsWithFault++
                 break
             }
             cluster.run(13_000)
         }
-        assertTrue(met > 0, "new machines, known by their journal pages alone")
-        assertTrue(cluster.lateWrites > 2, "${cluster.lateWrites} writes were carried out late")
+        assertTrue(roundsWithFault > 0, "no failover happened while new machines were known from journal pages alone")
+        assertTrue(cluster.lateWrites > 2, "${cluster.lateWrites} writes were applied late")
         cluster.network.lateWritePercent = 0
         cluster.network.unansweredWritePercent = 0
         cluster.network.delayedCommandPercent = 0
@@ -101,46 +106,46 @@
         cluster.requireWorkConservation()
         cluster.run(220_000)
         assertEquals(emptyList<String>(), cluster.broken)
-        assertEquals(emptyList<String>(), jobs.filter { cluster.state.finals[it]?.stage != JobStage.DONE }, "each has run")
+        assertEquals(emptyList<String>(), jobs.filter { cluster.state.finals[it]?.stage != JobStage.DONE }, "unfinished jobs")
         assertTrue(
             cluster.cloud.paid().let {
                 it.first + it.second
             } <= 3,
-            "machines are used or returned: ${cluster.workers.keys}, ${cluster.cloud.bootingCount} booting",
+            "idle machines are released: ${cluster.workers.keys}, ${cluster.cloud.bootingCount} booting",
         )
     }
 
     /**
-     * Nothing that was written since may be lost by a page that comes late, at the worst of moments: the leader ends just
-     * then, and none of its machines can be asked.
+     * A journal page that is applied late must not overwrite anything that newer pages recorded, even if the leader ends at that
+     * moment and the next leader can reach none of the machines.
      */
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6])
-    fun `a journal page is applied late, after newer ones, and the leader ends`(seed: Long) {
+    fun `all jobs complete after a journal page is applied late, after newer pages, and the leader ends`(seed: Long) {
         val cluster = SimulatedCluster(seed, capacity = 8, setup = ClusterSetup(limits = mapOf("a" to 14.0, "b" to 14.0)))
         cluster.cloud.bootFactor = 0.25
         cluster.elect()
         val jobs = ArrayList<String>()
-        var met = 0
+        var roundsWithFault = 0
         repeat(5) { round ->
             cluster.network.lateWritePercent = 40
-            val before = cluster.lateWrites
+            val lateWritesBefore = cluster.lateWrites
             for (step in 0 until 60) {
                 jobs += cluster.submit(100 * round + step + 1, JobKind.ARRAY, 1, if (step % 2 == 0) "a" else "b", seconds = 7.0 + step % 5)
                 cluster.run(300)
-                if (cluster.lateWrites > before + 1) break
+                if (cluster.lateWrites > lateWritesBefore + 1) break
             }
-            if (cluster.lateWrites > before + 1) met++
+            if (cluster.lateWrites > lateWritesBefore + 1) roundsWithFault++
             cluster.network.lateWritePercent = 0
             cluster.workers.values.forEach { it.cutUntil = cluster.now + 5_000 }
             cluster.handOver()
             cluster.run(9_000)
         }
-        assertEquals(5, met, "late writes")
+        assertEquals(5, roundsWithFault, "rounds with late writes")
         cluster.run(20_000)
         cluster.requireWorkConservation()
         cluster.run(150_000)
         assertEquals(emptyList<String>(), cluster.broken)
-        assertEquals(emptyList<String>(), jobs.filter { cluster.state.finals[it]?.stage != JobStage.DONE }, "each has run")
+        assertEquals(emptyList<String>(), jobs.filter { cluster.state.finals[it]?.stage != JobStage.DONE }, "unfinished jobs")
     }
 }
--- a/src/test/kotlin/org/honeyjunction/simulation/OverlappingFaultsTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/OverlappingFaultsTest.kt
@@ -11,40 +11,41 @@
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Two overlapping faults, in virtual time: [SimulatedCluster] asserts the protocol's rules after every step. */
+/** Pairs of overlapping faults, in virtual time. [SimulatedCluster] checks the protocol's rules after every step. */
 class OverlappingFaultsTest {
-    private fun SimulatedCluster.live(id: String) =
+    /** Number of live tasks of the job [id] on workers with a valid lease. */
+    private fun SimulatedCluster.liveTasks(id: String) =
         workers.values.sumOf { worker -> if (worker.holds(now)) worker.tasks.values.count { it.live && it.spec.id == id } else 0 }
 
-    /** One long job on machines of its own, running. */
-    private fun SimulatedCluster.running(tasks: Int = 4): String {
+    /** Elects a leader, submits a long job, and returns its id when all its [tasks] run. */
+    private fun SimulatedCluster.startLongJob(tasks: Int = 4): String {
         elect()
         val id = submit(1, JobKind.ARRAY, tasks, "b", seconds = 1e6)
         run(15_000)
-        assertEquals(tasks, live(id), "the tasks run")
+        assertEquals(tasks, liveTasks(id), "the tasks run")
         return id
     }
 
     /**
-     * The gap: the leader loses the state service (and the others), its workers stay with it; the next one, whom no worker
-     * hears, confirms that the job is cancelled, and then the state service is down for all. [SimulatedCluster] notes ran_cancelled
-     * once the time is over.
+     * The leader loses the state service and the other controllers, but still answers its workers. The next leader, whose messages
+     * reach no worker, confirms a cancellation, and then the state service goes down for all controllers. [SimulatedCluster] reports
+     * `ran_cancelled` if a task runs on after the time allowed for a cancellation.
      */
     @ParameterizedTest(name = "{0}, seed {1}")
     @CsvSource(
         "the next leader ends after the confirmation, 1",
         "the next leader ends after the confirmation, 2",
-        "the next leader is heard by nobody, 3",
-        "the next leader is heard by nobody, 4",
-        "the next leader is heard after 20 s, 5",
-        "the next leader is heard after 20 s, 6",
+        "the next leader reaches no worker, 3",
+        "the next leader reaches no worker, 4",
+        "the next leader reaches the workers after 20 s, 5",
+        "the next leader reaches the workers after 20 s, 6",
     )
-    fun `a job that is cancelled through the next leader is gone in time, though the former one answers its workers`(
+    fun `a job cancelled through the next leader stops in time though the former leader still answers its workers`(
         case: String,
         seed: Long,
     ) {
         val cluster = SimulatedCluster(seed)
-        val job = cluster.running()
+        val job = cluster.startLongJob()
         val former = cluster.leader!!
         cluster.network.nextLeaderLosesMessages = true
         cluster.cutOff()
@@ -52,10 +53,11 @@
         val next = cluster.leader!!
         assertTrue(next !== former && former.alive)
         cluster.cancel(job)
-        // Nobody hears it, so the former leader may keep the tasks alive: it is confirmed only when that has an end.
+        // The next leader reaches no worker, so the former one may keep the tasks alive. The cancellation is confirmed only when the
+        // former leader can no longer renew the workers' leases.
         cluster.run(RenewalBound.CONFIRMATION_DELAY_MS - 2_000)
-        assertTrue(job !in cluster.history.cancelledAt, "not yet")
-        assertEquals(4, cluster.live(job))
+        assertTrue(job !in cluster.history.cancelledAt, "the cancellation is not confirmed yet")
+        assertEquals(4, cluster.liveTasks(job))
         cluster.run(3_000)
         assertTrue(job in cluster.history.cancelledAt, "confirmed")
         cluster.state.down = true
@@ -63,15 +65,18 @@
         if ("20 s" in case) cluster.after(20_000) { next.messagesToWorkersLost = false }
         cluster.run(45_000)
         assertEquals(emptyList<String>(), cluster.broken, case)
-        assertEquals(0, cluster.live(job), case)
+        assertEquals(0, cluster.liveTasks(job), case)
     }
 
-    /** Where the next leader is heard, its token comes first, and nobody waits; what it ends after that makes no difference. */
+    /**
+     * The workers have the next leader's fencing token and so ignore responses of the former leader: the cancellation is confirmed
+     * without delay, and the tasks stop even if the next leader ends right afterwards.
+     */
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
     fun `a cancellation is confirmed at once where the next leader's token is known`(seed: Long) {
         val cluster = SimulatedCluster(seed)
-        val job = cluster.running()
+        val job = cluster.startLongJob()
         cluster.cutOff()
         cluster.run(SimulatedCluster.LEASE + 1_500)
         cluster.cancel(job)
@@ -80,38 +85,41 @@
         cluster.state.down = true
         cluster.leader!!.alive = false
         cluster.run(40_000)
-        assertEquals(0, cluster.live(job))
+        assertEquals(0, cluster.liveTasks(job))
         assertEquals(emptyList<String>(), cluster.broken)
     }
 
-    /** The price: an outage in which all other controllers answer costs no task, however long; see RenewalBoundTest for the rest. */
+    /** The other controllers confirm all the time that no later term has begun. RenewalBoundTest covers outages without that. */
     @Test
-    fun `an outage of the state service longer than a cancellation may take ends no task`() {
+    fun `an outage of the state service that is longer than a cancellation may take ends no task`() {
         val cluster = SimulatedCluster(1)
-        val job = cluster.running()
+        val job = cluster.startLongJob()
         cluster.state.down = true
         cluster.run(80_000)
-        assertEquals(4, cluster.live(job))
+        assertEquals(4, cluster.liveTasks(job))
         cluster.state.down = false
         cluster.run(5_000)
-        assertEquals(4, cluster.live(job))
+        assertEquals(4, cluster.liveTasks(job))
         assertEquals(
             1,
             cluster.history.starts.values
                 .map { it.task.attempt }
                 .distinct()
                 .size,
-            "none was started again",
+            "no task was started again",
         )
         assertEquals(emptyList<String>(), cluster.broken)
     }
 
-    /** Stops are lost on deaf machines: the lease ends what was cancelled, and what is deaf is no proof of anything before its time. */
+    /**
+     * Stop commands do not reach the machines, so cancelled tasks end with the worker leases. Before a lease has expired, the lack of
+     * responses proves nothing, and no task may be started elsewhere.
+     */
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
-    fun `a leader ends while commands do not reach machines - cancelled tasks end with the lease, the rest is started once`(seed: Long) {
+    fun `a leader crashes while commands do not reach machines - cancelled tasks end with the lease, others never run twice`(seed: Long) {
         val cluster = SimulatedCluster(seed)
-        val job = cluster.running()
+        val job = cluster.startLongJob()
         val other = cluster.submit(2, JobKind.ARRAY, 3, "b", seconds = 30.0)
         cluster.run(10_000)
         cluster.workers.values.forEach { it.deafUntil = cluster.now + 25_000 }
@@ -119,21 +127,21 @@
         cluster.run(SimulatedCluster.LEASE + 500)
         cluster.cancel(job)
         cluster.run(36_000)
-        assertEquals(0, cluster.live(job))
+        assertEquals(0, cluster.liveTasks(job))
         cluster.run(120_000)
         assertEquals(JobStage.DONE, cluster.state.finals[other]?.stage)
         assertEquals(emptyList<String>(), cluster.broken)
     }
 
-    /** A small job whose ends lie apart: results that an earlier leader wrote are never asked for again. */
+    /** The tasks of a small job end under different leaders: results that an earlier leader recorded are never requested again. */
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `a job of two tasks ends half before and half after failovers - each task runs once, done is reported in time`(seed: Long) {
+    fun `a job whose tasks end before and after failovers is reported as done`(seed: Long) {
         val cluster = SimulatedCluster(seed)
         cluster.elect()
-        // One begins when the other is nearly done: a team's limit lets one run at a time.
+        // The three tasks need 12 accelerators, and the team's limit is 10: the third task starts when another one has ended.
         val job = cluster.submit(1, JobKind.ARRAY, 2, "a", gpus = 4, seconds = 12.0)
-        val rest = cluster.submit(2, JobKind.ARRAY, 1, "a", gpus = 4, seconds = 14.0)
+        val otherJob = cluster.submit(2, JobKind.ARRAY, 1, "a", gpus = 4, seconds = 14.0)
         cluster.network.repeatedHeartbeatPercent = 30
         cluster.run(14_000)
         repeat(2) {
@@ -141,14 +149,14 @@
             cluster.run(9_000)
         }
         cluster.run(90_000)
-        for (id in listOf(job, rest)) assertEquals(JobStage.DONE, cluster.state.finals[id]?.stage, id)
+        for (id in listOf(job, otherJob)) assertEquals(JobStage.DONE, cluster.state.finals[id]?.stage, id)
         assertEquals(emptyList<String>(), cluster.broken)
     }
 
-    /** The largest of a class begin within four minutes beside small work that never stops, over two changes of leader. */
+    /** The largest jobs start within four minutes beside a steady stream of small jobs, also when the leader crashes twice. */
     @ParameterizedTest
     @ValueSource(longs = [1, 2])
-    fun `whole gangs of the largest size and an array at its team's limit begin beside steady small work`(seed: Long) {
+    fun `gangs of the largest size and an array as large as its team's limit allows start beside steady small jobs`(seed: Long) {
         val cluster = SimulatedCluster(seed, capacity = 9)
         cluster.elect()
         val small = ArrayList<String>()
@@ -182,18 +190,19 @@
             }
             if (second == 50 || second == 130) cluster.crash()
             cluster.run(1_000)
-            val late =
+            val overdue =
                 large.filter { id ->
                     cluster.state.jobs[id]?.let { cluster.now - it.createdAtWall > 240_000 } == true &&
                         cluster.history.starts.values.none { it.task.spec.id == id }
                 }
-            assertEquals(emptyList<String>(), late, "begin within four minutes, at ${cluster.now}")
+            assertEquals(emptyList<String>(), overdue, "large jobs not started within four minutes, at ${cluster.now}")
         }
         cluster.run(260_000)
         assertEquals(emptyList<String>(), (small + large).filter { cluster.state.finals[it]?.stage != JobStage.DONE })
         assertEquals(emptyList<String>(), cluster.broken)
     }
 
+    /** The names determine the seeds of the runs: a changed name draws other runs. */
     private val faults: List<Pair<String, SimulatedCluster.() -> Unit>> =
         listOf(
             "the leader ends" to { crash() },
@@ -230,13 +239,13 @@
                 },
         )
 
-    /** Every two faults, the second a moment or some seconds after the first, over arrays, a gang and replicas. */
+    /** Injects every two faults, the second one [gapMs] after the first, while arrays, a gang and the replicas of a service run. */
     @ParameterizedTest
     @ValueSource(longs = [300, 3_000, 7_000])
-    fun `every overlap of two faults`(gapMs: Long) {
-        for ((a, first) in faults) {
-            for ((b, second) in faults) {
-                val cluster = SimulatedCluster(31L * a.hashCode() + b.hashCode() + gapMs)
+    fun `all jobs end and all replicas run after every overlap of two faults`(gapMs: Long) {
+        for ((firstFault, injectFirst) in faults) {
+            for ((secondFault, injectSecond) in faults) {
+                val cluster = SimulatedCluster(31L * firstFault.hashCode() + secondFault.hashCode() + gapMs)
                 cluster.elect()
                 val jobs =
                     listOf(
@@ -246,11 +255,11 @@
                     )
                 val replicas = cluster.submit(4, JobKind.SERVICE, 2, "b", spread = true, priority = Priority.PRODUCTION)
                 cluster.run(11_000)
-                first(cluster)
+                injectFirst(cluster)
                 cluster.run(gapMs)
-                second(cluster)
+                injectSecond(cluster)
                 cluster.run(150_000)
-                val name = "$a, after $gapMs ms $b"
+                val name = "$firstFault, after $gapMs ms $secondFault"
                 assertEquals(emptyList<String>(), cluster.broken, name)
                 assertEquals(emptyList<String>(), jobs.filter { cluster.state.finals[it] == null }, "unfinished after: $name")
                 assertEquals(2, cluster.running(replicas), "replicas after: $name")
--- a/src/test/kotlin/org/honeyjunction/simulation/OverloadTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/OverloadTest.kt
@@ -8,26 +8,29 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 
-/** A leader that falls behind: its answers to reports come too late, or reports wait unread, while commands pass. */
+/**
+ * A leader that is overloaded, so that it responds to heartbeats too late or does not read them while commands still pass, or whose
+ * process is suspended.
+ */
 class OverloadTest {
     /**
-     * The night on which tasks ran twice: a worker's lease ended, its next session was first heard in the answer to a
-     * command, tasks were started in it, and a moment later all on the machine was taken for gone by the lease of the
-     * session before.
+     * Guards against a failure in which tasks ran twice. A worker's lease ended, and the leader learned of the worker's next session
+     * from the response to a command and started tasks in that session. A moment later the lease of the previous session expired at
+     * the leader, which concluded that all tasks on the machine were gone.
      */
     @ParameterizedTest(name = "seed {0}, {1} ms")
     @CsvSource("1,5000", "2,5000", "3,6000", "4,8000", "5,10000", "6,11000")
     fun `heartbeats that wait while commands pass do not make tasks run twice`(seed: Long, lateMs: Long) {
         val cluster = SimulatedCluster(seed, capacity = 16, setup = ClusterSetup(limits = mapOf("a" to 160.0, "b" to 160.0)))
         cluster.elect()
-        // Half of every machine is taken by what will be cancelled: the commands that stop it are answered with the next session.
-        val doomed = cluster.submit(1_000, JobKind.ARRAY, 32, "a", seconds = 1e6)
+        // A job that is cancelled later takes half of every machine. Responses to its stop commands report the next session.
+        val cancelledJob = cluster.submit(1_000, JobKind.ARRAY, 32, "a", seconds = 1e6)
         val jobs = arrayListOf(cluster.submit(3, JobKind.ARRAY, 64, "b", seconds = 12.0))
         cluster.run(30_000)
         cluster.network.responsesLateUntil = cluster.now + lateMs
         cluster.network.heartbeatsUnreadUntil = cluster.now + lateMs + 16_000
         cluster.run(12_500)
-        cluster.cancel(doomed)
+        cluster.cancel(cancelledJob)
         repeat(20) {
             jobs += cluster.submit(6 + 3 * it, JobKind.ARRAY, 3, if (it % 2 == 0) "a" else "b", seconds = 8.0)
             cluster.run(400)
@@ -37,20 +40,25 @@
         cluster.crash()
         cluster.run(120_000)
         assertEquals(emptyList<String>(), cluster.broken)
-        assertTrue(jobs.all { cluster.state.finals[it]?.stage == JobStage.DONE }, "all is done in the end")
+        assertTrue(jobs.all { cluster.state.finals[it]?.stage == JobStage.DONE }, "all jobs are done")
     }
 
-    /** Leaders that stand still while their clocks run on: shorter than the lease, longer, and with others that fail meanwhile. */
+    /** The leader's process is suspended while its clock runs on, for shorter or longer than the leases, also beside other faults. */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        "shorter than the term's lease,              4000, false, false",
-        "longer,                                     14000, false, false",
-        "longer than the workers' leases too,        25000, false, false",
+        "shorter than the leader lease,              4000, false, false",
+        "longer than the leader lease,               14000, false, false",
+        "longer than the worker leases too,          25000, false, false",
         "for a minute,                               60000, false, false",
-        "while the state service is away,            14000, true,  false",
+        "while the state service is down,            14000, true,  false",
         "while machines die and a zone is cut,       14000, false, true",
     )
-    fun `a leader whose process is suspended`(case: String, forMs: Long, outage: Boolean, machines: Boolean) {
+    fun `all jobs complete and all replicas run after the leader's process was suspended`(
+        case: String,
+        forMs: Long,
+        outage: Boolean,
+        machineFaults: Boolean,
+    ) {
         val cluster = SimulatedCluster(31, capacity = 60, setup = ClusterSetup(limits = mapOf("a" to 240.0, "b" to 240.0)))
         cluster.elect()
         val services = (1..8).map { cluster.submit(it, JobKind.SERVICE, 4, "a", spread = true, priority = Priority.PRODUCTION) }
@@ -58,7 +66,7 @@
         cluster.run(30_000)
         cluster.state.down = outage
         cluster.freeze(forMs)
-        if (machines) {
+        if (machineFaults) {
             cluster.workers.values.take(3).forEach { it.dead = true }
             cluster.cut("x", 16_000)
         }
--- a/src/test/kotlin/org/honeyjunction/simulation/RulesSimulationTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/RulesSimulationTest.kt
@@ -13,13 +13,13 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Whole leaders under rules, in virtual time. */
+/** Placement rules in a simulated cluster with complete leaders, in virtual time. */
 class RulesSimulationTest {
-    private fun rules(version: Long, text: String, topology: String? = null): RuleSet {
+    private fun ruleSet(version: Long, text: String, topology: String? = null): RuleSet {
         val labels = topology?.let { TopologyReader.parse(Json.read(it.toByteArray())) } ?: Topology.EMPTY
-        val read = RulesReader(labels.labels).read(text)
-        assertEquals(emptyList<Any>(), read.errors)
-        return RuleSet(version, read.rules, labels)
+        val document = RulesReader(labels.labels).read(text)
+        assertEquals(emptyList<Any>(), document.errors)
+        return RuleSet(version, document.rules, labels)
     }
 
     private fun SimulatedCluster.assertDone(jobs: List<String>) {
@@ -29,12 +29,12 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
-    fun `must rules hold under faults, and all work is done`(seed: Long) {
+    fun `must rules hold under faults, and all jobs complete`(seed: Long) {
         val cluster =
             SimulatedCluster(
                 seed,
                 rules =
-                    rules(
+                    ruleSet(
                         1,
                         """rule "north" for class "x" { must machine.zone = "x" }
                 rule "apart" for class "q" { must not machine runs class "b" }
@@ -66,7 +66,7 @@
             SimulatedCluster(
                 4,
                 rules =
-                    rules(
+                    ruleSet(
                         1,
                         "rule \"z\" for class \"q\" { must machine.rack = \"z\" }",
                         """{"machines":[{"name":"vm-9*","labels":{"rack":"z"}}]}""",
@@ -78,13 +78,13 @@
         cluster.run(120_000)
         cluster.assertDone(listOf(other))
         assertTrue(cluster.cloud.rentedInAll <= 4, "rented ${cluster.cloud.rentedInAll}")
-        val why = cluster.leader!!.leader.explain("j-1", 0, 1, cluster.now)!!.single().pendingReasons
-        assertTrue(why.any { "no machine is rented" in it && "\"z\"" in it }, why.toString())
+        val reasons = cluster.leader!!.leader.explain("j-1", 0, 1, cluster.now)!!.single().pendingReasons
+        assertTrue(reasons.any { "no machine is rented" in it && "\"z\"" in it }, reasons.toString())
     }
 
     @Test
-    fun `jobs that are kept apart get as many machines as they need`() {
-        val cluster = SimulatedCluster(5, rules = rules(1, "rule \"own machine\" for class \"q\" { must not machine runs class \"q\" }"))
+    fun `tasks that a rule keeps apart get a machine each`() {
+        val cluster = SimulatedCluster(5, rules = ruleSet(1, "rule \"own machine\" for class \"q\" { must not machine runs class \"q\" }"))
         cluster.elect()
         val job = cluster.submit(1, JobKind.ARRAY, 6, "a", jobClass = "q")
         cluster.run(60_000)
@@ -93,28 +93,34 @@
     }
 
     @Test
-    fun `a change of rules stops no running task and applies to later starts`() {
+    fun `changed rules stop no running task and apply to later starts`() {
         val cluster = SimulatedCluster(6)
         cluster.elect()
         cluster.submit(1, JobKind.SERVICE, 2, "a", spread = true)
         cluster.run(20_000)
 
-        fun live() = cluster.workers.values.flatMap { m -> m.tasks.values.filter { it.live }.map { "${it.id} on ${m.name}" } }
-        val before = live()
-        assertEquals(2, before.size)
-        cluster.apply(rules(1, "rule \"x only\" for all { must machine.zone = \"x\" }"))
-        val next = cluster.submit(2, JobKind.ARRAY, 4, "a", seconds = 1e6)
+        fun liveTasks() =
+            cluster.workers.values.flatMap { worker -> worker.tasks.values.filter { it.live }.map { "${it.id} on ${worker.name}" } }
+        val tasksBefore = liveTasks()
+        assertEquals(2, tasksBefore.size)
+        cluster.apply(ruleSet(1, "rule \"x only\" for all { must machine.zone = \"x\" }"))
+        val laterJob = cluster.submit(2, JobKind.ARRAY, 4, "a", seconds = 1e6)
         cluster.run(40_000)
-        assertEquals(before, live().filter { "j-1/" in it }, "what ran goes on")
-        val zones = cluster.workers.values.filter { m -> m.tasks.values.any { it.spec.id == next && it.live } }.map { it.box.zone }.toSet()
+        assertEquals(tasksBefore, liveTasks().filter { "j-1/" in it }, "running tasks stay where they are")
+        val zones =
+            cluster.workers.values
+                .filter { worker ->
+                    worker.tasks.values.any { it.spec.id == laterJob && it.live }
+                }.map { it.box.zone }
+                .toSet()
         assertEquals(setOf("x"), zones)
         assertEquals(emptyList<String>(), cluster.broken)
     }
 
     @Test
-    fun `tasks in the way of a higher priority are preempted where a rule says so, and only there`() {
+    fun `tasks that a rule keeps apart from a job of higher priority are preempted for it`() {
         val cluster =
-            SimulatedCluster(8, capacity = 1, rules = rules(1, "rule \"apart\" for class \"q\" { must not machine runs class \"b\" }"))
+            SimulatedCluster(8, capacity = 1, rules = ruleSet(1, "rule \"apart\" for class \"q\" { must not machine runs class \"b\" }"))
         cluster.elect()
         cluster.submit(1, JobKind.ARRAY, 2, "a", jobClass = "b", seconds = 1e6, checkpoint = 2.0)
         cluster.run(20_000)
@@ -125,13 +131,13 @@
 
     @Test
     fun `explanations are bounded in number and time`() {
-        val cluster = SimulatedCluster(9, rules = rules(1, "rule \"r\" for all { prefer machine.spot weight 2 }"))
+        val cluster = SimulatedCluster(9, rules = ruleSet(1, "rule \"r\" for all { prefer machine.spot weight 2 }"))
         cluster.elect()
         val job = cluster.submit(1, JobKind.ARRAY, 6, "a")
         cluster.run(40_000)
-        val said = cluster.leader!!.leader.explain(job, 0, 6, cluster.now)!!
-        assertEquals(6, said.size)
-        said.forEach { e -> assertEquals(listOf(false to 2.0), e.rules.map { it.met to it.costGb }) }
+        val explanations = cluster.leader!!.leader.explain(job, 0, 6, cluster.now)!!
+        assertEquals(6, explanations.size)
+        explanations.forEach { explanation -> assertEquals(listOf(false to 2.0), explanation.rules.map { it.met to it.costGb }) }
         assertEquals(null, cluster.leader!!.leader.explain(job, 0, 6, cluster.now + 1_200_000)?.ifEmpty { null })
     }
 }
--- a/src/test/kotlin/org/honeyjunction/simulation/ScenarioTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/ScenarioTest.kt
@@ -12,6 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 
+/** Runs of [Scenario] with planned faults, and the text form of [Fault]. */
 class ScenarioTest {
     private val setup =
         ClusterSetup(
@@ -26,23 +27,26 @@
         Scenario(setup, 300, seed, Scenario.jobs(300, setup), faults.map(Fault::parse)) { _, _ -> }.also { it.play(600_000) }
 
     @Test
-    fun `a partitioned zone and machines that die - all work is done, and a seed repeats the run`() {
+    fun `all jobs complete after a zone partition and the loss of machines, and the same seed repeats the run`() {
         val faults = arrayOf("at 60s cut zone b for 20s", "at 63s kill leader", "at 110s kill 50 machines", "at 112s state outage for 6s")
         val scenario = play(3, *faults)
         assertEquals(emptyList<String>(), scenario.cluster.broken)
         assertEquals(emptyList<String>(), scenario.unfinished())
-        assertTrue(scenario.serviceLevels.availability() in 0.85..0.999, "replica time ${scenario.serviceLevels.availability()}")
+        assertTrue(
+            scenario.serviceLevels.availability() in 0.85..0.999,
+            "availability of replicas: ${scenario.serviceLevels.availability()}",
+        )
         assertTrue(scenario.serviceLevels.worstAvailability(30) < scenario.serviceLevels.availability())
         assertTrue(scenario.serviceLevels.waits(JobKind.GANG).all { it != null })
-        val again = play(3, *faults)
+        val repeated = play(3, *faults)
         assertEquals(
             listOf(scenario.status(), scenario.serviceLevels.availability(), scenario.serviceLevels.spent),
-            listOf(again.status(), again.serviceLevels.availability(), again.serviceLevels.spent),
+            listOf(repeated.status(), repeated.serviceLevels.availability(), repeated.serviceLevels.spent),
         )
     }
 
     @Test
-    fun `machines that boot badly, a suspended leader, a lost one and machines that die`() {
+    fun `all jobs complete after slow and failed boots, suspended and killed leaders and the loss of machines`() {
         val scenario =
             play(
                 5,
@@ -56,9 +60,9 @@
         assertEquals(emptyList<String>(), scenario.cluster.broken)
         assertEquals(emptyList<String>(), scenario.unfinished())
         assertTrue(scenario.cluster.cloud.failedBoots > 0)
-        // Where nothing is rented any more, only age tells: six times as late as any that came up.
+        // Once no new machines are rented, a boot is abandoned by age alone: at six times the late threshold of boot times.
         scenario.cluster.run(200_000)
-        assertEquals(0, scenario.cluster.cloud.bootingCount, "what never comes up is given back")
+        assertEquals(0, scenario.cluster.cloud.bootingCount, "machines that never boot are released")
     }
 
     @ParameterizedTest
@@ -88,10 +92,10 @@
         "at 3s lag lists for 9s, 3000, LAG, 9000",
         "at 3s odd requests for 9s, 3000, ODD, 9000",
     )
-    fun `a fault is parsed, and written as it is parsed`(text: String, atMs: Long, what: Fault.What, forMs: Long) {
-        val f = Fault.parse(text)
-        assertEquals(listOf(atMs, what, forMs), listOf(f.atMs, f.what, f.forMs))
-        assertEquals(f, Fault.parse(f.toString()), "it is written as it is read")
+    fun `a fault is parsed, and its text form parses to the same fault`(text: String, atMs: Long, what: Fault.What, forMs: Long) {
+        val fault = Fault.parse(text)
+        assertEquals(listOf(atMs, what, forMs), listOf(fault.atMs, fault.what, fault.forMs))
+        assertEquals(fault, Fault.parse(fault.toString()), "the text form parses to the same fault")
     }
 
     @ParameterizedTest
@@ -118,7 +122,7 @@
             "at 2s on end 4 jobs",
         ],
     )
-    fun `what is no fault is refused`(text: String) {
+    fun `a text that names no valid fault is rejected`(text: String) {
         assertThrows(IllegalArgumentException::class.java) { Fault.parse(text) }
     }
 }
--- a/src/test/kotlin/org/honeyjunction/simulation/SimulationTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/SimulationTest.kt
@@ -9,8 +9,9 @@
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 
+/** Single and random faults, in virtual time. [SimulatedCluster] checks the protocol's rules after every step. */
 class SimulationTest {
-    internal fun SimulatedCluster.work(): List<String> =
+    internal fun SimulatedCluster.submitJobs(): List<String> =
         listOf(
             submit(1, JobKind.ARRAY, 14, "a", spot = true),
             submit(2, JobKind.ARRAY, 6, "b", checkpoint = 2.0, seconds = 20.0),
@@ -24,20 +25,20 @@
     }
 
     @Test
-    fun `without faults everything runs, a service goes on, a cancelled job ends`() {
+    fun `without faults all jobs complete, a service keeps running, and a cancelled job ends`() {
         val cluster = SimulatedCluster(1)
         cluster.elect()
-        val jobs = cluster.work()
+        val jobs = cluster.submitJobs()
         val service = cluster.submit(5, JobKind.SERVICE, 2, "a", spread = true)
         cluster.run(25_000)
-        val long = cluster.submit(6, JobKind.ARRAY, 4, "b", seconds = 1e6)
+        val cancelledJob = cluster.submit(6, JobKind.ARRAY, 4, "b", seconds = 1e6)
         cluster.run(15_000)
-        cluster.cancel(long)
+        cluster.cancel(cancelledJob)
         cluster.run(120_000)
         cluster.assertAllDone(jobs)
-        assertEquals(JobStage.CANCELLED, cluster.state.finals[long]?.stage)
+        assertEquals(JobStage.CANCELLED, cluster.state.finals[cancelledJob]?.stage)
         assertEquals(2, cluster.workers.values.sumOf { it.tasks.values.count { t -> t.live && t.spec.id == service } })
-        assertTrue(cluster.workers.size <= 3, "idle machines are returned: ${cluster.workers.keys}")
+        assertTrue(cluster.workers.size <= 3, "idle machines are released: ${cluster.workers.keys}")
     }
 
     @ParameterizedTest(name = "{0}, seed {1}")
@@ -61,10 +62,10 @@
         "everything,17",
         "everything,18",
     )
-    fun `the rules hold under faults and all work is done`(fault: String, seed: Long) {
+    fun `the protocol's rules hold under faults and all jobs complete`(fault: String, seed: Long) {
         val cluster = SimulatedCluster(seed)
         cluster.elect()
-        val jobs = cluster.work()
+        val jobs = cluster.submitJobs()
         cluster.run(6_000 + cluster.random.nextInt(8_000).toLong())
         val kinds =
             listOf(
@@ -95,7 +96,7 @@
                 after(SimulatedCluster.LEASE) { elect() }
             }
             "leader cut off" -> {
-                // The old one goes on: it reaches the workers, but not the state service.
+                // The old leader keeps running and reaches the workers, but the state service rejects its writes after the election.
                 after(SimulatedCluster.LEASE) { elect() }
             }
             "machine dies" -> machine?.dead = true
@@ -118,7 +119,7 @@
     }
 
     @Test
-    fun `a large fleet - a thousand machines, the leader crashes, machines are lost by the dozen`() {
+    fun `all jobs complete on a thousand machines after a leader crash and the loss of dozens of machines`() {
         val cluster = SimulatedCluster(7, capacity = 1_000, setup = ClusterSetup(limits = mapOf("a" to 3_000.0, "b" to 3_000.0)))
         cluster.elect()
         val jobs =
@@ -137,13 +138,13 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2])
-    fun `a job that fails everywhere backs off and costs few machines`(seed: Long) {
+    fun `a job whose task always fails is restarted with backoff, and another job completes`(seed: Long) {
         val cluster = SimulatedCluster(seed)
         cluster.elect()
         cluster.submit(1, JobKind.ARRAY, 1, "a", seconds = 1.0, jobClass = "faulty")
-        val good = cluster.submit(2, JobKind.ARRAY, 6, "b", seconds = 30.0)
+        val soundJob = cluster.submit(2, JobKind.ARRAY, 6, "b", seconds = 30.0)
         cluster.run(200_000)
-        cluster.assertAllDone(listOf(good))
-        assertTrue(cluster.started < 40, "started ${cluster.started} times")
+        cluster.assertAllDone(listOf(soundJob))
+        assertTrue(cluster.started < 40, "${cluster.started} starts")
     }
 }
