--- a/src/test/kotlin/org/honeyjunction/simulation/FailureAttributionSimulationTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/FailureAttributionSimulationTest.kt
@@ -94,7 +94,7 @@
         "boots take four times as long,    4.0,  0, false, 45",
         "machines boot at once,            0.02, 0, false, 45",
         "one machine in four never boots,  1.0,  4, false, 60",
-        "slow and failed boots, failover,  4.0,  4, true,  70",
+        "slow and failed boots; failover,  4.0,  4, true,  70",
     )
     fun `all jobs complete and no failed boot stays rented while machines boot slowly, at once or never`(
         case: String,
