--- a/src/test/kotlin/org/honeyjunction/simulation/TeamLimitTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/TeamLimitTest.kt
@@ -37,7 +37,11 @@
             if (it == 99) assertEquals(gangDone, cluster.state.terminalRecords[gang]?.stage == JobStage.DONE, case)
         }
         cluster.run(900_000)
-        assertEquals(emptyList<String>(), arrays.filter { cluster.state.terminalRecords[it]?.stage != JobStage.DONE }, "$case: unfinished arrays")
+        assertEquals(
+            emptyList<String>(),
+            arrays.filter { cluster.state.terminalRecords[it]?.stage != JobStage.DONE },
+            "$case: unfinished arrays",
+        )
         assertEquals(replicas, cluster.runningTaskCount(service), case)
         assertEquals(emptyList<String>(), cluster.broken)
     }
--- a/src/test/kotlin/org/honeyjunction/simulation/ZonePartitionFaultsTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/ZonePartitionFaultsTest.kt
@@ -130,7 +130,11 @@
             }
             cluster.runWithWorkConservation(120_000)
             assertEquals(emptyList<String>(), cluster.broken, fault)
-            assertEquals(emptyList<String>(), jobs.filter { cluster.state.terminalRecords[it]?.stage != JobStage.DONE }, "unfinished: $fault")
+            assertEquals(
+                emptyList<String>(),
+                jobs.filter { cluster.state.terminalRecords[it]?.stage != JobStage.DONE },
+                "unfinished: $fault",
+            )
         }
         // The faults overlapped: the new leader had tasks to start while other tasks of the job might still have run in their zone, or
         // the whole job had to move to another zone.
