--- a/src/main/kotlin/org/honeyjunction/app/CoalescedQueries.kt
+++ b/src/main/kotlin/org/honeyjunction/app/CoalescedQueries.kt
@@ -72,7 +72,7 @@
             try {
                 answers = sendBatch(batch.keys.toList())
             } catch (e: IOException) {
-                log.debug("{} queries: {}", batch.size, e.message)
+                log.debug("failed to answer {} queries: {}", batch.size, e.message)
             } finally {
                 // Runs after any other exception too, because a waiter must not be left suspended.
                 batch.forEach { (key, waiters) -> complete(waiters, answers?.get(key)) }
--- a/src/main/kotlin/org/honeyjunction/app/Election.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Election.kt
@@ -122,7 +122,7 @@
                 onRenewed(validUntil(sentAt))
                 delay(leaseMs / 4)
             } catch (e: IOException) {
-                log.debug("renewing the leader lease: {}", e.message)
+                log.debug("failed to renew the leader lease: {}", e.message)
                 delay(RETRY_MS)
             }
         }
@@ -134,7 +134,7 @@
         try {
             store.endLease(term.leaseId)
         } catch (e: IOException) {
-            log.debug("ending the leader lease: {}", e.message)
+            log.debug("failed to end the leader lease: {}", e.message)
         }
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/FollowerRounds.kt
+++ b/src/main/kotlin/org/honeyjunction/app/FollowerRounds.kt
@@ -37,7 +37,7 @@
                     else -> delay(Leadership.CAMPAIGN_INTERVAL_MS)
                 }
             } catch (e: IOException) {
-                log.debug("placement round with the leader: {}", e.message)
+                log.debug("failed to run a placement round with the leader: {}", e.message)
                 delay(Leadership.CAMPAIGN_INTERVAL_MS)
             }
         }
--- a/src/main/kotlin/org/honeyjunction/app/Leadership.kt
+++ b/src/main/kotlin/org/honeyjunction/app/Leadership.kt
@@ -45,7 +45,7 @@
                 node.leaderLiveness.observeLeader(election.leader, clock.steady())
                 if (election.leader != null) candidacy.leaderObserved()
             } catch (e: IOException) {
-                log.debug("election: {}", e.message)
+                log.debug("leader election failed: {}", e.message)
             } catch (e: MalformedException) {
                 log.error("the stored term record is malformed: {}", e.message)
             }
--- a/src/main/kotlin/org/honeyjunction/app/MachineTypeRefresh.kt
+++ b/src/main/kotlin/org/honeyjunction/app/MachineTypeRefresh.kt
@@ -35,7 +35,7 @@
                     }
                 }
             } catch (e: IOException) {
-                log.debug("refreshing the machine types: {}", e.message)
+                log.debug("failed to refresh the machine types: {}", e.message)
             }
             delay(if (cluster.types.isEmpty()) RETRY_MS else REFRESH_MS)
         }
@@ -48,7 +48,7 @@
                 .value
                 ?.let { use(Json.write(it)) }
         } catch (e: IOException) {
-            log.debug("reading the stored machine types: {}", e.message)
+            log.debug("failed to read the stored machine types: {}", e.message)
         }
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/PeerLeaseConfirmation.kt
+++ b/src/main/kotlin/org/honeyjunction/app/PeerLeaseConfirmation.kt
@@ -46,7 +46,7 @@
                         accept(confirmation, name, askedAt, driver)
                     }
                 } catch (e: IOException) {
-                    log.debug("vouching: {}: {}", name, e.message)
+                    log.debug("failed to get the term confirmed by {}: {}", name, e.message)
                 }
             }
             delay(INTERVAL_MS)
--- a/src/main/kotlin/org/honeyjunction/app/RulesStore.kt
+++ b/src/main/kotlin/org/honeyjunction/app/RulesStore.kt
@@ -77,7 +77,7 @@
                 val changes = state.changes(Keys.RULES, since, WATCH_MS)
                 if (changes == null || changes.changes.isNotEmpty()) isUpToDate = false else since = changes.revision
             } catch (e: IOException) {
-                log.debug("watching the rules: {}", e.message)
+                log.debug("failed to watch the rules: {}", e.message)
                 delay(RETRY_MS)
             }
         }
@@ -171,7 +171,7 @@
             unused.forEach { state.commit(listOf(Condition(it.key, it.version)), listOf(Write(it.key, null))) }
         } catch (e: IOException) {
             // The next change of the rules deletes the remaining chunks.
-            log.debug("deleting unused chunks of rules: {}", e.message)
+            log.debug("failed to delete unused chunks of rules: {}", e.message)
         }
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/leader/CommandSender.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/CommandSender.kt
@@ -26,7 +26,7 @@
                 else -> leader.commandUnanswered(effect.id, now)
             }
         } catch (e: IOException) {
-            log.debug("sending commands to {}: {}", effect.machine, e.message)
+            log.debug("failed to send commands to {}: {}", effect.machine, e.message)
             leader.commandUnanswered(effect.id, context.clock.steady())
         } catch (e: MalformedException) {
             log.warn("malformed response to commands from {}: {}", effect.machine, e.message)
--- a/src/main/kotlin/org/honeyjunction/app/leader/CommitExecutor.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/CommitExecutor.kt
@@ -75,7 +75,7 @@
                 else -> termLost("a record differs from what this term wrote")
             }
         } catch (e: IOException) {
-            log.debug("reading after a conflict: {}", e.message)
+            log.debug("failed to read the stored state after a conflict: {}", e.message)
             journalPageOutcome(changes) ?: CommitOutcome.Failed()
         }
 
@@ -96,7 +96,7 @@
                 val applied = JournalPageCodec.writeNumber(entry.value) == page.writeId
                 return if (applied) CommitOutcome.Applied(entry.version) else CommitOutcome.Failed(entry.version)
             } catch (e: IOException) {
-                log.debug("reading a journal page: {}", e.message)
+                log.debug("failed to read a journal page: {}", e.message)
                 delay(RETRY_MS)
             }
         }
--- a/src/main/kotlin/org/honeyjunction/app/leader/InstanceManager.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/InstanceManager.kt
@@ -19,7 +19,7 @@
                 context.leader.machinesListed(machines, context.clock.steady())
                 context.executeEffects()
             } catch (e: IOException) {
-                log.debug("listing machines: {}", e.message)
+                log.debug("failed to list machines: {}", e.message)
             }
             delay(LIST_INTERVAL_MS)
         }
@@ -49,7 +49,7 @@
                 }
             }
         } catch (e: IOException) {
-            log.debug("scaling out: {}", e.message)
+            log.debug("failed to scale out: {}", e.message)
             leader.scaleOutOutcomeUnknown(effect.request, context.clock.steady())
         }
         context.executeEffects()
@@ -72,7 +72,7 @@
                 cloud.scaleIn(effect.machines, context.mayStillAct(withinLease = true))
                 true
             } catch (e: IOException) {
-                log.debug("scaling in: {}", e.message)
+                log.debug("failed to scale in: {}", e.message)
                 false
             }
         if (confirmed) log.info("instances-scaled-in: {}", effect.machines)
--- a/src/main/kotlin/org/honeyjunction/app/leader/JobFollower.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/JobFollower.kt
@@ -32,7 +32,7 @@
                 since = revision
                 context.executeEffects()
             } catch (e: IOException) {
-                log.debug("watching the records of jobs: {}", e.message)
+                log.debug("failed to watch the records of jobs: {}", e.message)
                 delay(RETRY_MS)
             }
         }
--- a/src/main/kotlin/org/honeyjunction/app/leader/JobRecordReader.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/JobRecordReader.kt
@@ -35,7 +35,7 @@
         try {
             lookUp(job)
         } catch (e: IOException) {
-            log.debug("reading the record of {}: {}", job, e.message)
+            log.debug("failed to read the record of {}: {}", job, e.message)
             // The permit is kept during the delay, because the next read would probably fail as well.
             delay(RETRY_MS)
             JobRecord.Unread
--- a/src/main/kotlin/org/honeyjunction/app/leader/TerminalRecordMover.kt
+++ b/src/main/kotlin/org/honeyjunction/app/leader/TerminalRecordMover.kt
@@ -33,7 +33,7 @@
         try {
             move(job)
         } catch (e: IOException) {
-            log.debug("moving the record of {}: {}", job, e.message)
+            log.debug("failed to move the record of {}: {}", job, e.message)
             false
         }
 
--- a/src/main/kotlin/org/honeyjunction/app/nomad/NomadLeader.kt
+++ b/src/main/kotlin/org/honeyjunction/app/nomad/NomadLeader.kt
@@ -83,7 +83,7 @@
         try {
             old.take(MOST_FORGOTTEN).forEach { delete(it) }
         } catch (e: IOException) {
-            log.debug("forgetting old jobs: {}", e.message)
+            log.debug("failed to delete old jobs: {}", e.message)
         }
     }
 
--- a/src/main/kotlin/org/honeyjunction/app/nomad/NomadRegistry.kt
+++ b/src/main/kotlin/org/honeyjunction/app/nomad/NomadRegistry.kt
@@ -83,7 +83,7 @@
                 val answer = state.changes(Keys.NOMAD_HEADS, revision, WATCH_MS)
                 if (answer == null) known = false else take(answer.revision, answer.changes)
             } catch (e: IOException) {
-                log.debug("following registered jobs: {}", e.message)
+                log.debug("failed to follow registered jobs: {}", e.message)
                 delay(RETRY_MS)
             }
         }
@@ -220,7 +220,7 @@
         try {
             refresh()
         } catch (e: IOException) {
-            log.debug("after a change: {}", e.message)
+            log.debug("failed to refresh the registered jobs after a change: {}", e.message)
         }
 
     /** What the rules and the protocol forbid for good. */
--- a/src/main/kotlin/org/honeyjunction/core/boot/BootTimes.kt
+++ b/src/main/kotlin/org/honeyjunction/core/boot/BootTimes.kt
@@ -31,12 +31,14 @@
 }
 
 /**
- * The observed boot times by instance kind. Each kind has two histograms, one of the present time window and one of the previous
- * window, so that a period of slow boots is forgotten. While there are few observations, the nominal boot time of the type counts too.
+ * Decides whether the boot of a machine is on time, late or to be abandoned, by the observed boot times of its instance kind.
  *
- * A machine that never comes up, or that is abandoned too early, adds no observation. If age alone decided, the cluster would end up
- * without machines in a period in which all boots take four times as long. So a machine is abandoned when at least [MIN_OVERTAKING_BOOTS]
- * machines rented after it have come up, or by age alone only far beyond the usual boot times.
+ * A late machine is abandoned when at least [MIN_OVERTAKING_BOOTS] machines rented after it have come up, or by age alone only far
+ * beyond the usual boot times. A lower limit on the age would leave the cluster without machines in a period in which all boots take
+ * four times as long, because a machine that never comes up or is abandoned too early adds no observation.
+ *
+ * Each instance kind has two histograms of boot times, one for the present time window and one for the previous window, so that a
+ * period of slow boots is forgotten. While there are few observations, the nominal boot time of the type counts too.
  *
  * Times are monotonic milliseconds.
  */
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/Explainer.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/Explainer.kt
@@ -28,8 +28,8 @@
         }
 
     /**
-     * The best forbidden machine by job index. The search runs once for each job of an accepted set of proposals or of a
-     * request; see [beginBatch].
+     * For each job, by index: the machine of least cost among those that have room and that only a rule forbids; null if there is
+     * none. The cache holds for one batch, which is a set of placement proposals or a request for explanations; see [beginBatch].
      */
     private val bestForbiddenByJob = HashMap<Int, Alternative?>()
 
--- a/src/main/kotlin/org/honeyjunction/core/control/jobs/JobLifecycle.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/jobs/JobLifecycle.kt
@@ -47,7 +47,7 @@
     /** Jobs whose terminal record is to be written or read at the next [flush]. */
     private val recordsDue = LinkedHashSet<Job>()
 
-    /** Whether a worker's lease can expire within the time that the settings give a cancellation. */
+    /** Whether a worker's lease is certain to expire within the time limit for cancellations in the settings. */
     private val leaseFitsCancellation = RenewalBound.cancellationBudgetMs(state.cluster.cancelMs, state.cluster.leaseMs) > 0
 
     /** A worker reported the result of [task]; [machine] is where the task ran, if known. */
--- a/src/main/kotlin/org/honeyjunction/core/control/journal/JournalPages.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/journal/JournalPages.kt
@@ -14,7 +14,7 @@
     /** The numbers of all finished tasks of the window. */
     val finished = BitSet()
 
-    /** Those of the [finished] numbers that are known to be written to a page. */
+    /** The numbers of the [finished] tasks whose results are known to be written to a page. */
     val durable = BitSet()
 
     /** An upper bound of the window's size in a page, in bytes, including the job's identifier. */
@@ -71,7 +71,7 @@
     }
 
     private companion object {
-        /** Quotes, commas and the attempt number. */
+        /** An upper bound of the quotes, the commas and the attempt number that each group of starts adds to a page. */
         const val GROUP_PUNCTUATION_BYTES = 30
 
         /** A task number of six digits and a comma. */
--- a/src/main/kotlin/org/honeyjunction/core/control/leader/Leader.kt
+++ b/src/main/kotlin/org/honeyjunction/core/control/leader/Leader.kt
@@ -223,7 +223,7 @@
     /** The cloud refused [request]. */
     fun scaleOutRefused(request: String, now: Long) = components.autoscaler.rentalRefused(request, now)
 
-    /** The cloud did not answer [request], so that it may have rented machines. */
+    /** Notes that the outcome of [request] is unknown: the cloud did not answer, and may or may not have rented machines. */
     fun scaleOutOutcomeUnknown(request: String, now: Long) = components.autoscaler.rentalOutcomeUnknown(request, now)
 
     /** A request to release [machines] ended; if not [confirmed], its outcome is unknown and it will be repeated. */
--- a/src/main/kotlin/org/honeyjunction/core/model/TerminalRecord.kt
+++ b/src/main/kotlin/org/honeyjunction/core/model/TerminalRecord.kt
@@ -84,7 +84,7 @@
     }
 
     private fun enter(next: State, vararg from: State) {
-        check(state in from) { "$state -> $next" }
+        check(state in from) { "the transition from $state to $next is not allowed" }
         state = next
     }
 }
--- a/src/main/kotlin/org/honeyjunction/core/rules/Analysis.kt
+++ b/src/main/kotlin/org/honeyjunction/core/rules/Analysis.kt
@@ -204,7 +204,10 @@
         /** Stands for every name that the rules do not mention; a string of the rule language cannot contain a line break. */
         const val OTHER = "\n"
 
-        /** Distance of the candidate values below and above a constant that a rule compares an amount with. */
+        /**
+         * For each constant that a rule compares an amount with, the check tries the constant itself and the values this far below and
+         * above it.
+         */
         const val STEP = 0.5
 
         /** Bounds the time that one check takes. */
--- a/src/main/kotlin/org/honeyjunction/core/rules/RuleBook.kt
+++ b/src/main/kotlin/org/honeyjunction/core/rules/RuleBook.kt
@@ -12,7 +12,7 @@
 import org.honeyjunction.core.model.zonesFor
 import java.util.BitSet
 
-/** The attributes of a task that rules can refer to. Every rule treats tasks of equal shapes alike. */
+/** The shape of a task: the attributes that rules can refer to. Every rule treats tasks of equal shapes alike. */
 data class Shape(val jobClass: String, val team: String, val kind: JobKind, val priority: Priority, val image: String) {
     constructor(spec: JobSpec) : this(spec.jobClass, spec.team, spec.kind, spec.priority, spec.image)
 }
@@ -87,7 +87,7 @@
             else -> FIRST_LABEL + labelNames.index(attribute.word)
         }
 
-    /** The index of the shape of the tasks of [spec]; [NO_SHAPE] where no rule applies to them or tests for them. */
+    /** The index of the [Shape] of tasks that [spec] describes; [NO_SHAPE] if no rule selects such tasks or tests whether they run. */
     fun shape(spec: JobSpec): Int {
         if (empty) return NO_SHAPE
         val shape = Shape(spec)
--- a/src/main/kotlin/org/honeyjunction/core/rules/RuleCostCache.kt
+++ b/src/main/kotlin/org/honeyjunction/core/rules/RuleCostCache.kt
@@ -18,7 +18,8 @@
 
     /** The dense index of the contexts that the rules treat like [context]. The order of the tasks does not matter. */
     fun contextIndex(context: RuleTable.MachineContext): Int {
-        // At most two tasks of each shape are kept: with two, each already runs beside one of its own shape.
+        // At most two tasks of each shape are kept. Rules test only whether a task of a shape runs beside another task. With two tasks of
+        // one shape, each runs beside one of its own shape, so a third changes no result.
         val running =
             context.running
                 .filter { it >= 0 }
--- a/src/main/kotlin/org/honeyjunction/core/rules/RuleTable.kt
+++ b/src/main/kotlin/org/honeyjunction/core/rules/RuleTable.kt
@@ -168,7 +168,7 @@
             penalty(shape, context, peerPlaces)
         }
 
-    /** Whether a clause of the tasks of [shape] compares the places of a job's tasks. */
+    /** Whether a rule for tasks of [shape] has a clause that compares the places of the tasks of one job. */
     fun hasSameClause(shape: Int): Boolean = shape >= 0 && clausesOf[shape].any { clauses[it].same }
 
     /** The indices of the labels that "same" tests of the tasks of [shape] compare, in ascending order. */
--- a/src/main/kotlin/org/honeyjunction/timeline/OrderedEntry.kt
+++ b/src/main/kotlin/org/honeyjunction/timeline/OrderedEntry.kt
@@ -15,5 +15,5 @@
     UNKNOWN,
 }
 
-/** An [entry] of the merged order and the [evidence] for its place after the entry before it. */
+/** An [entry] of the merged order. The [evidence] says why the entry is placed after the preceding one. */
 class OrderedEntry(val entry: LogEntry, val evidence: OrderEvidence)
--- a/src/test/kotlin/org/honeyjunction/ArchitectureTest.kt
+++ b/src/test/kotlin/org/honeyjunction/ArchitectureTest.kt
@@ -43,7 +43,7 @@
         "app,           'app core wire io rules nomad fake simulation timeline', java kotlin kotlinx.coroutines okio " +
             "com.fasterxml.jackson com.networknt org.slf4j picocli",
     )
-    fun `a package depends only on the packages that the table allows`(part: String, own: String, others: String) {
+    fun `a package depends only on the packages listed for it in this test`(part: String, own: String, others: String) {
         val partClasses = classes.filter { it.packageName.startsWith("$ROOT.$part") }
         assertTrue(partClasses.isNotEmpty(), "no classes in $part")
         val ownParts = (own.split(' ').filter { it.isNotBlank() } + part).map { "$ROOT.$it" }
--- a/src/test/kotlin/org/honeyjunction/core/admission/TerminalRecordPlacementTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/admission/TerminalRecordPlacementTest.kt
@@ -13,7 +13,7 @@
         "demand exceeds the capacity,     0.0, true,  2, true",
         "the bound on records is reached, 9.0, true,  3, false",
     )
-    fun `terminal states are written in place while changes are scarce, up to the bound`(
+    fun `a terminal state is written in place while write capacity is short and fewer records than the maximum are in place`(
         case: String,
         queueDelayS: Double,
         demandExceedsCapacity: Boolean,
--- a/src/test/kotlin/org/honeyjunction/core/batching/RequestCoalescerTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/batching/RequestCoalescerTest.kt
@@ -98,7 +98,7 @@
     }
 
     @Test
-    fun `no response is older than one received before the request when responses are slow or lost`() {
+    fun `no request gets a response older than one received before it, even if responses are slow or lost`() {
         assertEquals(0, (1L..60L).sumOf { countStaleResponses(it, joinsInFlight = false) })
         // The test detects the error of joining a request that is in flight.
         assertTrue((1L..60L).sumOf { countStaleResponses(it, joinsInFlight = true) } > 0)
--- a/src/test/kotlin/org/honeyjunction/core/control/jobs/JobTerminationModelTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/control/jobs/JobTerminationModelTest.kt
@@ -20,8 +20,9 @@
         )
     }
 
+    /** Between the ends of the tasks, the job is cancelled, the term changes, and writes are answered, lost or applied late. */
     @Test
-    fun `no invariant breaks when two tasks end far apart, with a cancellation, a failover, and writes answered, lost or late`() {
+    fun `no invariant breaks when other events happen between the ends of two tasks`() {
         val (violations, observed, states) = explore(DEPTH, TWO_TASKS) { JobTerminationModel(2, pageWritesAnswered = false) }
         assertEquals(emptyList<String>(), violations)
         assertTrue(states > 10_000, "$states")
@@ -37,7 +38,7 @@
     /** Guards against a lost result: a delayed write of an older page must not overwrite newer pages, which have more results. */
     @ParameterizedTest
     @CsvSource("true, ", "false, task 1 is forgotten by its machine and not done")
-    fun `a result outlives an older page that is applied late, by the compare-and-swap on the version`(
+    fun `a delayed write of an older page loses a result only if versions are not compared`(
         comparesVersions: Boolean,
         violation: String?,
     ) {
--- a/src/test/kotlin/org/honeyjunction/core/control/leader/LeaderRecoveryTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/control/leader/LeaderRecoveryTest.kt
@@ -116,7 +116,7 @@
         "a report with the token that lists the task keeps it,   1, 1, true,  1",
         "a report of an older session is ignored,                0, 1, false, 1",
     )
-    fun `a task recovered from the journal is removed only on proof`(
+    fun `a task recovered from the journal is removed only if a report with this term's token omits it`(
         name: String,
         session: Long,
         ackedThisTerm: Int,
--- a/src/test/kotlin/org/honeyjunction/core/control/writes/WriteRateAllocatorTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/control/writes/WriteRateAllocatorTest.kt
@@ -54,7 +54,7 @@
 
     @ParameterizedTest
     @CsvSource("2999,62", "3001,65")
-    fun `a request counts only for as long as a share is valid`(now: Long, expected: Double) {
+    fun `a follower's queued writes reduce the leader's share only for as long as a granted share is valid`(now: Long, expected: Double) {
         val allocator = WriteRateAllocator(100.0, 3)
         allocator.followerShare("n1", 50, 0, 0.0, 0)
         assertEquals(if (expected == 65.0) 65.0 else 30.0, allocator.leaderShare(0, 0.0, now), 1e-9)
--- a/src/test/kotlin/org/honeyjunction/core/lease/RenewalBoundTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/lease/RenewalBoundTest.kt
@@ -300,7 +300,7 @@
         "a worker's lease is not counted",
         "no confirmation delay",
     )
-    fun `a rule with a part left out is found to be violated`(omission: String) {
+    fun `the exploration detects a rule with a part left out`(omission: String) {
         val found =
             explore(LOST_LEASE, if (omission == "no confirmation delay") 0 else CONFIRM_AFTER) {
                 when (omission) {
--- a/src/test/kotlin/org/honeyjunction/core/placement/PlacementProgressTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/placement/PlacementProgressTest.kt
@@ -202,7 +202,7 @@
     }
 
     @Test
-    fun `of very many machines the summary keeps those that waiting tasks fit on`() {
+    fun `the summary keeps the machines that waiting tasks fit on when there are more machines than it may hold`() {
         val capacities =
             List(5_000) { FreeCapacity(it, gpus(4), 0, 0, true, intArrayOf(3)) } + FreeCapacity(5_000, gpus(1), 0, 0, false, intArrayOf())
         val row = rows(0, JobShape(1, false, 1, Priority.PRODUCTION, false, -1, false, 3, true))
--- a/src/test/kotlin/org/honeyjunction/core/placement/PlacementRoundTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/placement/PlacementRoundTest.kt
@@ -93,7 +93,12 @@
         "no task starts on a forbidden type,      type,1,0",
         "a task too large for any machine waits,  large,1,0",
     )
-    fun `the expected number of tasks starts`(name: String, kind: String, tasks: Int, expected: Int) {
+    fun `as many tasks start as the free machines and the limits of their job allow`(
+        name: String,
+        kind: String,
+        tasks: Int,
+        expected: Int,
+    ) {
         val capacities =
             when (kind) {
                 "spot" -> listOf(capacity(0, spot = true))
@@ -123,7 +128,13 @@
         "starts elsewhere after waiting for as long as a fetch,               20, 51000, 0, true",
         "a gang does not wait,                                                20, 0, 1, true",
     )
-    fun `a row whose image is on a busy machine`(name: String, freeInS: Double, waitingMs: Long, gangSize: Int, starts: Boolean) {
+    fun `a task outside gangs waits for a busy machine with its image for no longer than a fetch takes`(
+        name: String,
+        freeInS: Double,
+        waitingMs: Long,
+        gangSize: Int,
+        starts: Boolean,
+    ) {
         val busy =
             FreeCapacity(
                 0,
@@ -152,7 +163,12 @@
         "does not wait for a fetch of over twice its own length, 10.5, 0,     true",
         "does not wait beyond the expected end of the fetch,     4.0,  41000, true",
     )
-    fun `a production task on a machine that fetches another image`(name: String, leftGb: Double, waitingMs: Long, placed: Boolean) {
+    fun `a production task waits for a fetch of another image that ends soon, but not beyond its expected end`(
+        name: String,
+        leftGb: Double,
+        waitingMs: Long,
+        placed: Boolean,
+    ) {
         val fetching = FreeCapacity(0, gpus(3), 0, 0, false, intArrayOf(1), fetchingGb = leftGb, fetchGbPerS = 0.1)
         assertEquals(
             placed,
@@ -174,7 +190,12 @@
         "another job of the same priority may not, 6, NORMAL, 0",
         "a job of higher priority may, 6, HIGH, 1",
     )
-    fun `a machine that is reserved for a gang`(name: String, job: Int, priority: Priority, starts: Int) {
+    fun `a machine reserved for a gang accepts only the gang's job and jobs of higher priority`(
+        name: String,
+        job: Int,
+        priority: Priority,
+        starts: Int,
+    ) {
         val reserved = FreeCapacity(0, gpus(4), 0, 0, false, intArrayOf(), reservedFor = 5, reservedPriority = Priority.NORMAL)
         assertEquals(starts, placed(summary(listOf(reserved), row(job, gpus = 4, priority = priority))).size, name)
     }
@@ -220,7 +241,7 @@
         "not another team's guaranteed work,       NORMAL,true,HIGH,1,true,false",
         "not for a task beyond its own guarantee,  NORMAL,false,HIGH,1,false,false",
     )
-    fun `a waiting task preempts only what it may`(
+    fun `a waiting task preempts only tasks of lower priority or, if guaranteed, other teams' tasks that are not`(
         name: String,
         priority: Priority,
         guaranteed: Boolean,
--- a/src/test/kotlin/org/honeyjunction/core/placement/RulesPlacementTest.kt
+++ b/src/test/kotlin/org/honeyjunction/core/placement/RulesPlacementTest.kt
@@ -325,7 +325,8 @@
         ],
     )
     fun `rules that no machine can ever satisfy are reported`(rules: String, expected: String?) {
-        // A future machine may match a name pattern of the label, and a task of the class may run there, so these rules are not reported.
+        // The rules "rack" and "beside" are not reported: the topology may give a machine that is rented later the rack "a", and a task
+        // of class "b" may run on it.
         val fixture = RulesFixture(rules, "a")
         assertEquals(expected.orEmpty(), fixture.book.rulesForbidding(fixture.spec(1, "q")).joinToString(" ") { it.name })
     }
--- a/src/test/kotlin/org/honeyjunction/simulation/NewMachineFailoverTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/NewMachineFailoverTest.kt
@@ -50,7 +50,7 @@
         "hanging,   crash, 17",
         "hanging,   cut off, 18",
     )
-    fun `all jobs complete though the next leader knows machines with tasks from journal pages alone`(
+    fun `all jobs complete when the next leader learns of new machines with tasks only from journal pages`(
         reachability: String,
         change: String,
         seed: Long,
--- a/src/test/kotlin/org/honeyjunction/simulation/OverlappingFaultsRecoveryTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/OverlappingFaultsRecoveryTest.kt
@@ -435,7 +435,7 @@
      */
     @ParameterizedTest(name = "outage {0} ms after the refusal")
     @ValueSource(longs = [1_000, 4_500, 7_000])
-    fun `jobs cancelled while the leader is refused or the state service is down stop, and only durable cancellations are confirmed`(
+    fun `cancelled jobs stop while the state service refuses the leader or is down, and only durable cancellations are confirmed`(
         outageAfterMs: Long,
     ) {
         for (cancelAfterMs in listOf(-1_000L, -100, -20, 0, 20, 100, 500, 980, 1_000, 1_020, 3_000, 4_980, 5_020, 6_000, 7_100, 30_000)) {
--- a/src/test/kotlin/org/honeyjunction/simulation/RulesSimulationTest.kt
+++ b/src/test/kotlin/org/honeyjunction/simulation/RulesSimulationTest.kt
@@ -61,7 +61,7 @@
     }
 
     @Test
-    fun `a rule that no machine on offer certainly meets causes no scale-out and blocks no other job`() {
+    fun `a rule that no rentable machine is certain to meet causes no scale-out and blocks no other job`() {
         val cluster =
             SimulatedCluster(
                 4,
